--- a/benches/control/commits.rs
+++ b/benches/control/commits.rs
@@ -83,7 +83,7 @@
     while began.elapsed() < RUN_FOR {
         while sent.len() < under_way {
             number += 1;
-            let id = entry.begin_propose(&Op::Ledger(intent(number)));
+            let id = entry.start_propose(&Op::Ledger(intent(number)));
             sent.insert(id, Instant::now());
         }
         let (id, reply) = entry.wait_for(|message| match message {
--- a/src/coltsfootnotch/daemon/control/actor.rs
+++ b/src/coltsfootnotch/daemon/control/actor.rs
@@ -1,4 +1,4 @@
-//! The actor on the daemon's event loop, and how the daemon starts.
+//! Starts the control daemon and runs its actor on the event loop.
 
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -19,7 +19,7 @@
     timer_min,
 };
 
-use super::daemon::{ControlDaemon, Next};
+use super::daemon::{ControlDaemon, NextStep};
 use super::disk::Disk;
 use super::handle::Shared;
 use super::input::Input;
@@ -39,13 +39,13 @@
     check_identity(&cx, &cfg)?;
     let (started, starting) = mpsc::sync_channel(1);
     let shared = Arc::new(Shared::default());
-    let of_loop = Arc::clone(&shared);
+    let loop_shared = Arc::clone(&shared);
     let thread = event_loop::spawn("control", move |stakker| {
-        run(stakker, &cx, cfg, of_loop, &started)
+        run(stakker, &cx, cfg, loop_shared, &started)
     })
     .map_err(ControlError::Thread)?;
-    let ended = || ControlError::Thread(io::Error::other("the daemon's thread has ended"));
-    let parts = starting.recv().map_err(|_| ended())??;
+    let stopped = || ControlError::Thread(io::Error::other("the daemon's thread has stopped"));
+    let parts = starting.recv().map_err(|_| stopped())??;
     Ok(ControlHandle {
         address: parts.address,
         traffic: parts.traffic,
@@ -55,7 +55,7 @@
     })
 }
 
-/// What the handle needs of a daemon that has started.
+/// Values for the [`ControlHandle`] of a started daemon.
 struct Started {
     address: SocketAddr,
     traffic: Arc<Traffic>,
@@ -93,7 +93,7 @@
         }
         Err(e) => {
             if e.is_corrupt() {
-                cx.log(&events::STORAGE_CORRUPT, &[("error", &chain(&e))]);
+                cx.log(&events::STORAGE_CORRUPT, &[("error", &error_chain(&e))]);
             }
             let _ = started.send(Err(e));
             stakker.shutdown(StopCause::Stopped);
@@ -102,7 +102,7 @@
     actor
 }
 
-/// Opens everything that can fail, and connects it to the actor's channel.
+/// Opens the data folder and the fleet endpoint, and connects both to the actor's channel.
 fn open(
     cx: &HostCx,
     mut cfg: ControlConfig,
@@ -110,7 +110,7 @@
 ) -> Result<(ControlDaemon, Started), ControlError> {
     let host = cx.identity.host.clone();
     let opened = if cfg.diskless {
-        without_disk(&host)
+        open_diskless(&host)
     } else {
         open_disk(&host, &mut cfg, channel)?
     };
@@ -145,7 +145,7 @@
     Ok((daemon, parts))
 }
 
-/// What a host has kept, and where it goes on keeping.
+/// State recovered from the data folder, and the thread that writes to it.
 struct Opened {
     recovered: Recovered,
     epoch: Epoch,
@@ -159,10 +159,10 @@
     channel: &Channel<Input>,
 ) -> Result<Opened, ControlError> {
     let storage_cfg = StorageConfig::new(cfg.data.join(LOG_FOLDER), host.clone());
-    let judge = cfg.judge.take();
-    let judge = judge.unwrap_or_else(|| Box::new(|_| Verdict::Proceed));
-    let (storage, recovered) =
-        Storage::open_with(&storage_cfg, judge, &mut rand::rng()).map_err(ControlError::Open)?;
+    let fault_injector = cfg.fault_injector.take();
+    let fault_injector = fault_injector.unwrap_or_else(|| Box::new(|_| Verdict::Proceed));
+    let (storage, recovered) = Storage::open_with(&storage_cfg, fault_injector, &mut rand::rng())
+        .map_err(ControlError::Open)?;
     let epoch = epoch::next(&cfg.data).map_err(ControlError::Epoch)?;
     let addresses = address_file::load(&cfg.data).map_err(ControlError::Addresses)?;
     let to_actor = channel.clone();
@@ -178,8 +178,8 @@
     })
 }
 
-/// A host without a disk is another one each time that it starts.
-fn without_disk(host: &HostName) -> Opened {
+/// A host without a disk gets a new member identity at every start.
+fn open_diskless(host: &HostName) -> Opened {
     let member = MemberId {
         host: host.clone(),
         disk: DiskId::draw(&mut rand::rng()),
@@ -194,7 +194,7 @@
 
 /// The actor that owns a control daemon's state.
 struct ControlActor {
-    /// Absent once it has ended.
+    /// Absent after the daemon has stopped.
     daemon: Option<ControlDaemon>,
     cx: HostCx,
     shared: Arc<Shared>,
@@ -225,7 +225,7 @@
             return;
         };
         let next = daemon.handle(input);
-        self.go_on(cx, next);
+        self.on_step(cx, next);
     }
 
     fn tick(&mut self, cx: CX![]) {
@@ -233,34 +233,34 @@
             return;
         };
         let next = daemon.tick();
-        self.go_on(cx, next);
+        self.on_step(cx, next);
     }
 
-    fn go_on(&mut self, cx: CX![], next: Result<Next, ControlError>) {
+    fn on_step(&mut self, cx: CX![], next: Result<NextStep, ControlError>) {
         match next {
-            Ok(Next::GoOn) => {
+            Ok(NextStep::Continue) => {
                 let ready = self.daemon.as_ref().is_some_and(ControlDaemon::is_ready);
                 self.shared.set_ready(ready);
                 self.set_timer(cx);
             }
-            Ok(Next::End) => self.end(cx),
+            Ok(NextStep::Stop) => self.shut_down(cx),
             Err(e) => {
-                self.report(&e);
+                self.log_error(&e);
                 self.shared.fail(e);
-                self.end(cx);
+                self.shut_down(cx);
             }
         }
     }
 
-    fn report(&self, error: &ControlError) {
+    fn log_error(&self, error: &ControlError) {
         let event = match error {
             ControlError::Write(_) => &events::SYNC_FAILED,
             _ => &events::STORAGE_CORRUPT,
         };
-        self.cx.log(event, &[("error", &chain(error))]);
+        self.cx.log(event, &[("error", &error_chain(error))]);
     }
 
-    fn end(&mut self, cx: CX![]) {
+    fn shut_down(&mut self, cx: CX![]) {
         self.shared.set_ready(false);
         if let Some(daemon) = self.daemon.take() {
             daemon.close();
@@ -275,16 +275,16 @@
             return;
         };
         let wait = daemon.next_due().saturating_sub(self.cx.now());
-        let at = cx.now() + wait.max(MIN_WAIT);
+        let at = cx.now() + wait.max(MIN_TIMER_DELAY);
         timer_min!(&mut self.timer, at, [cx], tick());
     }
 }
 
-/// Shortest wait: a timer that is due at once would keep messages from being taken in between.
-const MIN_WAIT: Duration = Duration::from_millis(1);
+/// Shortest timer delay, so that queued messages are handled between two ticks.
+const MIN_TIMER_DELAY: Duration = Duration::from_millis(1);
 
-/// An error with its causes.
-fn chain(error: &dyn Error) -> String {
+/// An error followed by its sources.
+fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(source) = cause {
--- a/src/coltsfootnotch/daemon/control/address_file_tests.rs
+++ b/src/coltsfootnotch/daemon/control/address_file_tests.rs
@@ -1,4 +1,4 @@
-//! Addresses of other control hosts in the data folder.
+//! Tests of the address file.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -13,9 +13,9 @@
     last.iter().map(address).collect()
 }
 
-/// Guards against a host that restarts and has forgotten where the others are.
+/// Guards against a restarted host that no longer has the addresses of its peers.
 #[googletest::test]
-fn what_was_saved_last_is_loaded() {
+fn the_last_saved_addresses_are_loaded() {
     let dir = tempfile::tempdir().unwrap();
     expect_that!(load(dir.path()).unwrap(), is_empty());
     save(dir.path(), &addresses(&[1, 2])).unwrap();
@@ -23,9 +23,9 @@
     expect_that!(load(dir.path()).unwrap(), eq(&addresses(&[2, 3])));
 }
 
-/// Guards against a control host that does not start for a line that nobody can read.
+/// Guards against a control host that fails to start because of an unreadable line.
 #[googletest::test]
-fn a_line_that_is_no_address_is_left_out() {
+fn an_invalid_line_is_skipped() {
     let dir = tempfile::tempdir().unwrap();
     save(dir.path(), &addresses(&[1])).unwrap();
     let text = fs::read_to_string(dir.path().join(NAME)).unwrap();
--- a/src/coltsfootnotch/daemon/control/kept_file.rs
+++ b/src/coltsfootnotch/daemon/control/atomic_file.rs
@@ -1,13 +1,13 @@
-//! Small files of the data folder that are replaced as a whole.
+//! Small files of the data folder that are replaced atomically.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Replaces the file `name` in `dir`. After a loss of power it holds what it held before or all of `text`.
+/// Replaces the file `name` in `dir` atomically: after a power loss it has its old content or `text`.
 ///
 /// # Errors
-/// Returns an error when the file can't be written or synced; the one before stays.
+/// Returns an error when the file can't be written or synced; the old content remains.
 pub(super) fn replace(dir: &Path, name: &str, text: &str) -> io::Result<()> {
     let unfinished = dir.join(format!("{name}.new"));
     let mut file = File::create(&unfinished)?;
@@ -17,10 +17,10 @@
     File::open(dir)?.sync_all()
 }
 
-/// The text of the file `name` in `dir`; none while there is no such file.
+/// Reads the file `name` in `dir`; none if it doesn't exist.
 ///
 /// # Errors
-/// Returns an error when the file is there and can't be read.
+/// Returns an error when the file exists and can't be read.
 pub(super) fn read(dir: &Path, name: &str) -> io::Result<Option<String>> {
     match fs::read_to_string(dir.join(name)) {
         Ok(text) => Ok(Some(text)),
--- a/src/coltsfootnotch/daemon/control/batcher.rs
+++ b/src/coltsfootnotch/daemon/control/batcher.rs
@@ -1,15 +1,14 @@
-//! Grouping of ledger writes into one entry of the log.
+//! Groups ledger writes into batches, one log entry each.
 //!
-//! Load pattern answered: hundreds of bookings a second, each with an intent and an outcome. An entry
-//! of the log for each costs a frame, a checksum and an apply of its own on every member. Writes that
-//! come while a batch is in flight wait for it and then go together; when nothing is in flight a
-//! write goes at once, so that a lone booking waits for nobody.
+//! Each log entry costs a frame, a checksum and an apply on every member. Writes that arrive while a
+//! batch is in flight are queued and share the next entry; without one in flight a write is proposed
+//! at once, so a single booking is not delayed.
 
 use coltsfootnotch_state::{LedgerOp, LedgerReply, Op, Reply};
 
 use super::request_table::RequestId;
 
-/// Writes in one batch; bounds the time that one entry takes to apply and to send.
+/// Most writes in one batch; bounds the time to send and apply an entry.
 const MAX_BATCH: usize = 512;
 
 /// The part of a batch that belongs to one request.
@@ -17,11 +16,11 @@
 pub struct Share {
     /// The request.
     pub request: RequestId,
-    /// How many writes it proposed; none for a single one outside a batch of its own.
+    /// Number of writes in the request's own batch; none for a single write.
     count: Option<usize>,
 }
 
-/// Ledger writes on their way into the log.
+/// Queue of ledger writes to be proposed.
 ///
 /// ```
 /// use coltsfootnotch::daemon::control::batcher::Batcher;
@@ -30,7 +29,7 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Batcher {
-    waiting: Vec<(Share, Vec<LedgerOp>)>,
+    queue: Vec<(Share, Vec<LedgerOp>)>,
     in_flight: bool,
 }
 
@@ -41,21 +40,21 @@
             request,
             count: None,
         };
-        self.waiting.push((share, vec![op]));
+        self.queue.push((share, vec![op]));
     }
 
-    /// Adds the writes that a host has grouped itself.
+    /// Adds writes that a host sent as one batch.
     pub fn push_many(&mut self, request: RequestId, ops: Vec<LedgerOp>) {
         let share = Share {
             request,
             count: Some(ops.len()),
         };
-        self.waiting.push((share, ops));
+        self.queue.push((share, ops));
     }
 
-    /// The next batch, unless one is in flight or nothing waits.
+    /// The next batch, unless one is in flight or the queue is empty.
     pub fn next_batch(&mut self) -> Option<(Vec<Share>, Op)> {
-        if self.in_flight || self.waiting.is_empty() {
+        if self.in_flight || self.queue.is_empty() {
             return None;
         }
         let mut size = 0;
@@ -63,11 +62,11 @@
             size += ops.len();
             size <= MAX_BATCH
         };
-        // The first always goes, however large the host made it.
-        let count = self.waiting.iter().take_while(fits).count().max(1);
+        // The first request is never split, even if it exceeds the limit.
+        let count = self.queue.iter().take_while(fits).count().max(1);
         let mut shares = Vec::with_capacity(count);
         let mut writes = Vec::new();
-        for (share, ops) in self.waiting.drain(..count) {
+        for (share, ops) in self.queue.drain(..count) {
             shares.push(share);
             writes.extend(ops);
         }
@@ -75,15 +74,15 @@
         Some((shares, Op::Batch(writes)))
     }
 
-    /// The batch in flight was applied, or refused.
-    pub fn landed(&mut self) {
+    /// Marks the batch in flight as applied or refused.
+    pub fn finish_batch(&mut self) {
         self.in_flight = false;
     }
 
-    /// Gives up: returns the requests whose writes were not proposed.
+    /// Clears the queue; returns the requests whose writes were not proposed.
     pub fn abandon(&mut self) -> Vec<RequestId> {
         self.in_flight = false;
-        self.waiting
+        self.queue
             .drain(..)
             .map(|(share, _)| share.request)
             .collect()
@@ -93,7 +92,7 @@
 /// Splits the reply to a batch among its requests.
 ///
 /// # Panics
-/// When there are not as many replies as writes: a caller would get another's answer.
+/// Panics when the numbers of replies and writes differ, since callers could get wrong replies.
 pub fn split(shares: Vec<Share>, replies: Vec<LedgerReply>) -> Vec<(RequestId, Reply)> {
     let mut replies = replies.into_iter();
     let mut split = Vec::with_capacity(shares.len());
@@ -101,9 +100,9 @@
         let reply = match share.count {
             None => Reply::Ledger(replies.next().expect("a reply for each write")),
             Some(count) => {
-                let own: Vec<_> = replies.by_ref().take(count).collect();
-                assert_eq!(own.len(), count, "a reply for each write");
-                Reply::Batch(own)
+                let group: Vec<_> = replies.by_ref().take(count).collect();
+                assert_eq!(group.len(), count, "a reply for each write");
+                Reply::Batch(group)
             }
         };
         split.push((share.request, reply));
--- a/src/coltsfootnotch/daemon/control/config.rs
+++ b/src/coltsfootnotch/daemon/control/config.rs
@@ -1,4 +1,4 @@
-//! What a control daemon is told when it starts.
+//! Configuration of a control daemon.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -15,52 +15,50 @@
 use super::seeded::Seeds;
 use crate::daemon::ControlAddress;
 
-/// Longest command of the log in bytes: the largest manifest (4 MiB) and what describes it.
+/// Longest log command in bytes: the largest manifest (4 MiB) and its metadata.
 const MAX_COMMAND_BYTES: usize = 5 << 20;
-/// Proposals that may wait for a majority, in bytes: a few of the longest.
+/// Most bytes of proposals that are not committed yet.
 const MAX_UNCOMMITTED_BYTES: usize = 4 * MAX_COMMAND_BYTES;
-/// Entries of the log after which a snapshot replaces them.
+/// Log entries after which a snapshot is taken.
 ///
-/// A snapshot writes the whole state, so it must be rare beside the ledger's writes; a restart
-/// replays at most this many entries, which takes well under a second.
+/// Bounds the entries that a restart replays, and how often the whole state is written.
 const SNAPSHOT_ENTRIES: u64 = 4_096;
 
-/// What a control daemon is told when it starts.
+/// Configuration of a control daemon.
 pub struct ControlConfig {
     /// UDP address that the fleet endpoint binds.
     pub listen: SocketAddr,
-    /// Address under which other hosts reach the endpoint, where that is another: behind a proxy or an
-    /// address translation.
+    /// Address at which other hosts reach the endpoint if it differs from `listen`, as behind a proxy or
+    /// NAT.
     pub advertised: Option<SocketAddr>,
     /// Certificate and key of this host.
     pub credentials: Credentials,
-    /// Data folder; the only state that outlives the process.
+    /// Data folder with all persistent state.
     pub data: PathBuf,
-    /// The control group as it is when the fleet is first started, this host included.
+    /// Members of the control group at the first start of the fleet, including this host.
     pub members: Vec<ControlAddress>,
-    /// Whether the host has no disk: it then keeps no log, is never a member, and only says where the
-    /// control hosts are that do.
+    /// Whether the host has no disk. Such a host has no log, is never a member, and redirects to the
+    /// control hosts that have one.
     pub diskless: bool,
-    /// Where to find the other control hosts, where `members` lists none.
+    /// Seeds for the discovery of other control hosts, if `members` is empty.
     pub seeds: Option<Seeds>,
-    /// Times and sizes of the replicated log.
+    /// Timeouts and size limits of the replicated log.
     pub core: CoreConfig,
-    /// Times of the detection of silence.
+    /// Timeouts of the failure detection of hosts.
     pub timing: Timing,
-    /// Whether writes of the ledger that come while one is in flight share one entry of the log.
+    /// Whether ledger writes that arrive while one is in flight share one log entry.
     pub batch_ledger: bool,
-    /// Decides about every file operation of the log, for tests of failing disks; all proceed
-    /// without it.
-    pub judge: Option<Judge>,
+    /// Injects faults into file operations of the log, for tests; without it, every operation
+    /// proceeds.
+    pub fault_injector: Option<Judge>,
 }
 
-/// Bytes of the log after which a snapshot replaces them, on hosts that find each other. Their disks
-/// hold some tens of megabytes and their memory little more; the log on disk stays within a few times
-/// this.
+/// Log bytes after which a snapshot is taken on hosts that discover each other. Their disks and memory
+/// are limited to some tens of megabytes; the log on disk stays within a few times this size.
 const SEEDED_SNAPSHOT_BYTES: usize = 2 << 20;
 
 impl ControlConfig {
-    /// A configuration with the usual times and sizes.
+    /// A configuration with the default timeouts and sizes.
     #[must_use]
     pub fn new(
         listen: SocketAddr,
@@ -85,12 +83,12 @@
             core,
             timing: Timing::DEFAULT,
             batch_ledger: true,
-            judge: None,
+            fault_injector: None,
         }
     }
 
-    /// The same for a host that finds the others by itself; without a data folder for one that has no
-    /// disk.
+    /// A configuration for a host that discovers its peers by seeds; `data` is absent on a host without
+    /// a disk.
     #[must_use]
     pub fn seeded(
         listen: SocketAddr,
@@ -108,7 +106,7 @@
         cfg
     }
 
-    /// The configuration that settings ask for; reads the certificate files.
+    /// Builds the configuration from settings; reads the certificate files.
     ///
     /// # Errors
     /// Returns an error when a certificate file can't be read, or the settings are of another role.
@@ -124,13 +122,13 @@
         Ok(cfg)
     }
 
-    /// Address under which other hosts reach this one.
+    /// Address at which other hosts reach this one.
     pub(super) fn address(&self) -> SocketAddr {
         self.advertised.unwrap_or(self.listen)
     }
 
-    /// The other hosts of the group.
-    pub(super) fn others(&self, me: &HostName) -> impl Iterator<Item = &ControlAddress> {
+    /// The listed members without `me`.
+    pub(super) fn peers(&self, me: &HostName) -> impl Iterator<Item = &ControlAddress> {
         self.members.iter().filter(move |m| m.host != *me)
     }
 }
--- a/src/coltsfootnotch/daemon/control/config_push.rs
+++ b/src/coltsfootnotch/daemon/control/config_push.rs
@@ -1,8 +1,8 @@
-//! The configuration in force as it is sent to hosts: whole, or as a delta from an earlier one.
+//! The configuration in force as it is sent to hosts: in full, or as a delta from an earlier one.
 //!
-//! Load pattern answered: a change goes to every host of the failure domain at the same moment. Whole
-//! bodies of 5,700 accounts (1.1 MB) to 68 hosts are 75 MB a change; a delta of one account is under
-//! 200 bytes. A delta is computed once for each base and shared by all hosts that have it.
+//! A change is sent to every host of the failure domain at once. With 5,700 accounts a full body has
+//! 1.1 MB, a delta of one account under 200 bytes. Each delta is computed once and shared by all hosts
+//! with the same base.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -10,12 +10,11 @@
 use coltsfootnotch_manifest::{Manifest, ManifestDelta};
 use coltsfootnotch_wire::{ConfigBody, FromRelay};
 
-/// Earlier configurations from which deltas are made. Hosts report within half a second what they
-/// have in force, so even a burst of changes finds nearly every host on one of these; each is a
-/// manifest in memory, some megabytes at 5,700 accounts.
+/// Number of earlier configurations kept as bases of deltas. Each takes some megabytes of memory with
+/// 5,700 accounts.
 const BASES: usize = 4;
 
-/// The configuration in force and the ones before it.
+/// The configuration in force and some earlier ones.
 #[derive(Debug, Default)]
 pub struct ConfigPush {
     body: Option<ConfigBody>,
@@ -37,10 +36,10 @@
         self.manifest.as_ref()
     }
 
-    /// Takes the configuration that has come into force.
+    /// Sets the configuration that has come into force.
     ///
     /// # Panics
-    /// When its number is not above the one before: a host would go back.
+    /// Panics when its number is not higher than the current one, since hosts would go back.
     pub fn accept(&mut self, body: ConfigBody) {
         assert!(
             body.number > self.number(),
@@ -57,13 +56,13 @@
         self.body = Some(body);
     }
 
-    /// The configuration as a whole.
+    /// The full configuration.
     #[must_use]
-    pub fn whole(&self) -> Option<FromRelay> {
+    pub fn full(&self) -> Option<FromRelay> {
         self.body.clone().map(FromRelay::Config)
     }
 
-    /// The change for a host that has the configuration `from` in force, if it is kept.
+    /// The delta for a host that has the configuration `from` in force, if that base is kept.
     pub fn delta(&mut self, from: u64) -> Option<FromRelay> {
         if !self.deltas.contains_key(&from) {
             let base = self.bases.iter().find(|base| base.number == from)?;
--- a/src/coltsfootnotch/daemon/control/daemon/connections.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that come and go, and whose messages go where.
+//! Handles connection events and dispatches received messages.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::util::events;
 
 impl ControlDaemon {
-    pub(super) fn on_event(&mut self, now: Duration, event: Event) {
+    pub(super) fn on_fabric_event(&mut self, now: Duration, event: Event) {
         match event {
             Event::Up {
                 link,
@@ -22,12 +22,12 @@
                 let (role, host) = (peer.role, peer.host.clone());
                 self.links.add(link, peer, incarnation, tx);
                 if role == Role::Control {
-                    self.greet(link);
+                    self.send_hello(link);
                 } else if role == Role::Entry
                     && let Some(seeded) = &mut self.seeded
                 {
-                    seeded.followers.add(link, host);
-                    self.tell_all(link);
+                    seeded.entries.add(link, host);
+                    self.send_initial_state(link);
                 }
             }
             Event::Message {
@@ -35,21 +35,21 @@
                 peer,
                 message,
             } => self.on_message(now, link, &peer, message),
-            // Control hosts run no attempts.
+            // Control hosts don't run attempts.
             Event::Stream { stream, .. } => drop(stream),
-            Event::Forbidden { peer } => self.forbidden(&peer, "role"),
+            Event::Forbidden { peer } => self.log_forbidden(&peer, "role"),
             Event::Down { link, peer } => self.on_down(now, link, &peer),
         }
     }
 
     fn on_message(&mut self, now: Duration, link: LinkId, peer: &PeerId, message: Message) {
         match message {
-            Message::ToRelay(message) => self.on_host(now, link, peer, message),
-            Message::Member(bytes) => self.on_member(now, link, peer, &bytes),
-            Message::BetweenRelays(bytes) => self.on_relay(now, link, peer, &bytes),
-            // Allowed for the sender's role, but not meant for a control host.
+            Message::ToRelay(message) => self.on_host_message(now, link, peer, message),
+            Message::Member(bytes) => self.on_member_packet(now, link, peer, &bytes),
+            Message::BetweenRelays(bytes) => self.on_relay_packet(now, link, peer, &bytes),
+            // The sender's role permits these, but a control host is not their receiver.
             Message::ToSidecar(_) | Message::FromSidecar(_) | Message::FromRelay(_) => {
-                self.forbidden(peer, "receiver");
+                self.log_forbidden(peer, "receiver");
             }
         }
     }
@@ -60,23 +60,23 @@
             return;
         }
         if peer.role == Role::Control && !self.links.has_control(&peer.host) {
-            self.founding.lose(&peer.host);
+            self.bootstrap.remove_host(&peer.host);
             if let Some(seeded) = &mut self.seeded {
-                seeded.finding.lose(now, &peer.host);
+                seeded.discovery.remove_host(now, &peer.host);
             }
         }
         if let Some(seeded) = &mut self.seeded {
-            seeded.followers.remove(link);
+            seeded.entries.remove(link);
         }
-        for request in self.requests.sent_over(link) {
-            if let Some((request, answer)) = self.requests.lose(request) {
-                self.deliver(now, request.origin, answer);
+        for request in self.requests.forwarded_over(link) {
+            if let Some((request, response)) = self.requests.abort(request) {
+                self.send_response(now, request.origin, response);
             }
         }
     }
 
-    /// Counts and reports what a peer may not do.
-    pub(super) fn forbidden(&self, peer: &PeerId, what: &'static str) {
+    /// Logs a message that the peer is not permitted to send.
+    pub(super) fn log_forbidden(&self, peer: &PeerId, what: &'static str) {
         self.host.log(
             &events::MESSAGE_FORBIDDEN,
             &[("peer", peer), ("why", &what)],
--- a/src/coltsfootnotch/daemon/control/daemon/from_hosts.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/from_hosts.rs
@@ -1,4 +1,4 @@
-//! What hosts and operators send.
+//! Handles messages from hosts and operators.
 
 use std::time::Duration;
 
@@ -10,36 +10,46 @@
 use super::ControlDaemon;
 use crate::core::decode_op;
 use crate::daemon::control::host_feed::HostFeed;
-use crate::daemon::control::packet::Ask;
-use crate::daemon::control::permit::permits;
+use crate::daemon::control::packet::LeaderRequest;
+use crate::daemon::control::permissions::is_permitted;
 use crate::daemon::control::request_table::Origin;
 use crate::daemon::control::status;
 
 impl ControlDaemon {
-    pub(super) fn on_host(&mut self, now: Duration, link: LinkId, peer: &PeerId, message: ToRelay) {
+    pub(super) fn on_host_message(
+        &mut self,
+        now: Duration,
+        link: LinkId,
+        peer: &PeerId,
+        message: ToRelay,
+    ) {
         match message {
             ToRelay::Heartbeat(heartbeat) => self.on_heartbeat(now, link, peer, &heartbeat),
             ToRelay::Service(batch) => self.on_service(link, peer, &batch),
             ToRelay::Propose { id, command } => self.on_propose(now, link, peer, id, command),
             ToRelay::ConfigConfirmed { id } => {
-                self.request(now, Origin::Confirm(link, id), Ask::Read);
+                self.submit(now, Origin::Confirm(link, id), LeaderRequest::Read);
             }
             ToRelay::Status { id } => {
                 let json = status::to_json(self);
-                self.tell(link, FromRelay::Status { id, json });
+                self.send_to_host(link, FromRelay::Status { id, json });
             }
             ToRelay::AdmitMember { id, host, replaces } => {
-                let ask = Ask::Admit { host, replaces };
-                self.request(now, Origin::Members(link, id), ask);
+                let body = LeaderRequest::Admit { host, replaces };
+                self.submit(now, Origin::Members(link, id), body);
             }
             ToRelay::Load { follows, load } => {
                 if let Some(seeded) = &mut self.seeded {
-                    seeded.followers.report(now, link, follows, load);
+                    seeded.entries.record_load(now, link, follows, load);
                 }
             }
-            ToRelay::Lease { id, have } => self.on_lease_ask(now, link, id, have),
+            ToRelay::Lease { id, have } => self.on_lease_query(now, link, id, have),
             ToRelay::RemoveMember { id, host } => {
-                self.request(now, Origin::Members(link, id), Ask::Remove { host });
+                self.submit(
+                    now,
+                    Origin::Members(link, id),
+                    LeaderRequest::Remove { host },
+                );
             }
         }
     }
@@ -49,20 +59,20 @@
         let Some(link) = self.links.get_mut(link) else {
             return;
         };
-        let is_its_own = record.host == peer.host
+        let matches_sender = record.host == peer.host
             && record.role == peer.role
             && record.incarnation == link.incarnation;
-        if !is_its_own {
+        if !matches_sender {
             self.host
                 .metrics
                 .counter("heartbeats_refused", &[])
                 .increment(1);
-            return self.forbidden(peer, "heartbeat of another host");
+            return self.log_forbidden(peer, "heartbeat of another host");
         }
         let feed = link.host.get_or_insert_with(|| HostFeed::new(heartbeat));
-        let heartbeat = feed.hear(now, heartbeat);
+        let heartbeat = feed.on_heartbeat(now, heartbeat);
         if !self.relay.heartbeat(now, &heartbeat) {
-            // A later run of the host has registered; this one must not go on.
+            // A later incarnation of the host has registered.
             link.close();
         }
     }
@@ -71,13 +81,15 @@
         let Some(link) = self.links.get_mut(link) else {
             return;
         };
-        // Before the first heartbeat there is nowhere to note what the host watches. Unacknowledged,
-        // the batch comes again; taken, the accounts it names would never be told.
+        // Watched accounts can only be recorded after the first heartbeat. The batch is not acknowledged,
+        // so the host sends it again.
         let Some(feed) = &mut link.host else {
             return;
         };
-        feed.report(batch);
-        let seq = self.relay.serve(&peer.host, link.incarnation, batch);
+        feed.on_service_batch(batch);
+        let seq = self
+            .relay
+            .record_service(&peer.host, link.incarnation, batch);
         link.send_host(FromRelay::ServiceApplied { seq });
     }
 
@@ -89,27 +101,31 @@
         id: u64,
         command: Vec<u8>,
     ) {
-        let Some(op) = decode_op(&command).ok().filter(is_sound) else {
+        let Some(op) = decode_op(&command).ok().filter(is_valid) else {
             let reply = Err(ProposeError::BadCommand);
-            return self.tell(link, FromRelay::Proposed { id, reply });
+            return self.send_to_host(link, FromRelay::Proposed { id, reply });
         };
-        if !permits(peer.role, &op) {
-            self.forbidden(peer, "operation");
+        if !is_permitted(peer.role, &op) {
+            self.log_forbidden(peer, "operation");
             if let Some(link) = self.links.get(link) {
                 link.close();
             }
             return;
         }
-        self.request(now, Origin::Propose(link, id), Ask::Propose(command));
+        self.submit(
+            now,
+            Origin::Propose(link, id),
+            LeaderRequest::Propose(command),
+        );
     }
 
-    pub(in crate::daemon::control) fn tell(&self, link: LinkId, message: FromRelay) {
+    pub(in crate::daemon::control) fn send_to_host(&self, link: LinkId, message: FromRelay) {
         if let Some(link) = self.links.get(link) {
             link.send_host(message);
         }
     }
 
-    /// The configuration in force as this member has applied it.
+    /// The configuration in force in this member's applied state.
     pub(in crate::daemon::control) fn config_body(&self) -> Option<ConfigBody> {
         let accepted = self.machine().config().in_force()?;
         Some(ConfigBody {
@@ -120,9 +136,9 @@
     }
 }
 
-/// A body that is no manifest, or one with another number, would be accepted by the state machine,
-/// to which it is opaque, and then refused by every host.
-fn is_sound(op: &Op) -> bool {
+/// Whether a configuration body is a manifest with the number of its request. The state machine doesn't
+/// parse bodies and accepts any, but every host refuses an invalid one.
+fn is_valid(op: &Op) -> bool {
     match op {
         Op::ApplyConfig(req) => {
             Manifest::from_body(&req.body).is_ok_and(|manifest| manifest.number == req.number)
--- a/src/coltsfootnotch/daemon/control/daemon/from_members.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/from_members.rs
@@ -1,4 +1,4 @@
-//! What other control hosts send.
+//! Handles messages from other control hosts.
 
 use std::time::Duration;
 
@@ -6,21 +6,29 @@
 use coltsfootnotch_fabric::{LinkId, PeerId};
 
 use super::ControlDaemon;
-use crate::daemon::control::packet::{Answer, Ask, MemberHello, MemberPacket, RelayPacket};
+use crate::daemon::control::packet::{
+    LeaderRequest, LeaderResponse, MemberHello, MemberPacket, RelayPacket,
+};
 use crate::daemon::control::request_table::{Origin, RequestId};
 
 impl ControlDaemon {
-    /// The first words on a connection to another control host.
-    pub(super) fn greet(&mut self, link: LinkId) {
-        let hello = self.own_hello();
+    /// Sends the first packet on a connection to another control host.
+    pub(super) fn send_hello(&mut self, link: LinkId) {
+        let hello = self.local_hello();
         if let Some(link) = self.links.get(link) {
             link.send_member(&MemberPacket::Hello(hello));
         }
     }
 
-    pub(super) fn on_member(&mut self, now: Duration, link: LinkId, peer: &PeerId, bytes: &[u8]) {
+    pub(super) fn on_member_packet(
+        &mut self,
+        now: Duration,
+        link: LinkId,
+        peer: &PeerId,
+        bytes: &[u8],
+    ) {
         let Ok(packet) = postcard::from_bytes(bytes) else {
-            return self.forbidden(peer, "packet");
+            return self.log_forbidden(peer, "packet");
         };
         match packet {
             MemberPacket::Hello(hello) if hello.member.host == peer.host => {
@@ -29,18 +37,18 @@
             MemberPacket::Log { from, msg } if from.host == peer.host => {
                 self.replica.core_mut().step(now, &from, msg);
             }
-            // A member that speaks for another host could vote in its name.
+            // Prevents a member from voting in the name of another host.
             MemberPacket::Hello(_) | MemberPacket::Log { .. } => {
-                self.forbidden(peer, "packet of another host");
+                self.log_forbidden(peer, "packet of another host");
             }
             MemberPacket::UpstreamLeft { id, born_ms } => {
-                self.note_left(now, &id, born_ms);
+                self.record_upstream_left(now, &id, born_ms);
             }
-            MemberPacket::Ask { id, ask } => self.on_ask(now, link, id, ask),
-            MemberPacket::Answer { id, answer } => {
+            MemberPacket::Request { id, body } => self.on_member_request(now, link, id, body),
+            MemberPacket::Response { id, response } => {
                 let request = RequestId(id);
-                if self.requests.is_sent_over(link, request) {
-                    self.done(now, request, answer);
+                if self.requests.is_forwarded_over(link, request) {
+                    self.complete(now, request, response);
                 }
             }
         }
@@ -48,32 +56,38 @@
 
     fn on_hello(&mut self, now: Duration, hello: MemberHello) {
         let host = hello.member.host.clone();
-        if let (Some(seeded), Some(said)) = (&mut self.seeded, hello.seeded.clone())
-            && seeded.finding.hear(now, &host, said)
+        if let (Some(seeded), Some(seeded_hello)) = (&mut self.seeded, hello.seeded.clone())
+            && seeded.discovery.record_hello(now, &host, seeded_hello)
         {
-            let told = seeded.control_hosts();
-            self.tell_followers(&told);
-            self.say_hello();
+            let message = seeded.control_hosts();
+            self.broadcast_to_entries(&message);
+            self.broadcast_hello();
         }
-        self.founding.hear(hello);
+        self.bootstrap.record_hello(hello);
     }
 
-    /// Another member takes this one for the leader. If it is not, the asker looks for the leader
-    /// itself: passed on, a request could go round in circles during an election.
-    fn on_ask(&mut self, now: Duration, link: LinkId, id: u64, ask: Ask) {
+    /// Executes a request of another member if this one leads. Requests are never forwarded again, since
+    /// they could loop during an election.
+    fn on_member_request(&mut self, now: Duration, link: LinkId, id: u64, body: LeaderRequest) {
         let origin = Origin::Member(link, id);
         if self.replica.core().is_leader() {
-            self.request(now, origin, ask);
+            self.submit(now, origin, body);
         } else {
-            self.deliver(now, origin, Answer::NotLeader);
+            self.send_response(now, origin, LeaderResponse::NotLeader);
         }
     }
 
-    pub(super) fn on_relay(&mut self, now: Duration, link: LinkId, peer: &PeerId, bytes: &[u8]) {
+    pub(super) fn on_relay_packet(
+        &mut self,
+        now: Duration,
+        link: LinkId,
+        peer: &PeerId,
+        bytes: &[u8],
+    ) {
         let packet = postcard::from_bytes::<RelayPacket>(bytes);
         let merged = packet.is_ok_and(|p| self.relay.merge(now, &peer.host, &p));
         if !merged {
-            self.forbidden(peer, "relay packet");
+            self.log_forbidden(peer, "relay packet");
             if let Some(link) = self.links.get(link) {
                 link.close();
             }
@@ -84,7 +98,7 @@
         let Some((_, link)) = self.links.control(&to.host) else {
             return;
         };
-        let from = self.founding.hello().member.clone();
+        let from = self.bootstrap.local_hello().member.clone();
         link.send_member(&MemberPacket::Log { from, msg });
     }
 }
--- a/src/coltsfootnotch/daemon/control/daemon/group_watch.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/group_status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the control group: who its members are, and whether it can decide.
+//! Logs and metrics of the control group: its members, its health and whether it has a leader.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use crate::daemon::control::group_health::GroupHealth;
 use crate::util::events;
 
-/// Between two lines that tell that no leader is known. An election takes about a second.
-const SAY_NO_LEADER_EVERY: Duration = Duration::from_secs(2);
+/// Interval of log lines while no leader is known. An election takes about a second.
+const NO_LEADER_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
 impl ControlDaemon {
-    /// Tells how the members stand after a change of theirs.
-    pub(super) fn members_changed(&mut self, members: &Membership) {
+    /// Logs the members after a change.
+    pub(super) fn log_members(&mut self, members: &Membership) {
         self.host.log(
             &events::MEMBERS_CHANGED,
             &[
@@ -25,26 +25,32 @@
         );
     }
 
-    /// Measures what the group bears, and tells now and then if it has no leader.
-    pub(super) fn watch_group(&mut self, now: Duration) {
+    /// Updates the gauges of the group's health and logs a missing leader.
+    pub(super) fn update_group_status(&mut self, now: Duration) {
         let members = self.replica.core().status().members;
-        let me = &self.founding.hello().member;
+        let me = &self.bootstrap.local_hello().member;
         if !members.contains(me) {
             return;
         }
         let connected = self.connected_voters(&members);
-        self.measure_group(&GroupHealth::of(&members, &connected));
-        self.tell_no_leader(now, &members, &connected);
+        self.set_health_gauges(&GroupHealth::of(&members, &connected));
+        self.log_no_leader(now, &members, &connected);
     }
 
-    /// The voters that are connected, this member included.
+    /// The connected voters, including this member.
     fn connected_voters(&self, members: &Membership) -> BTreeSet<MemberId> {
-        let me = &self.founding.hello().member;
-        let is_here = |m: &&MemberId| *m == me || self.founding.member_on(&m.host) == Some(*m);
-        members.voters.iter().filter(is_here).cloned().collect()
+        let me = &self.bootstrap.local_hello().member;
+        let is_connected =
+            |m: &&MemberId| *m == me || self.bootstrap.member_on(&m.host) == Some(*m);
+        members
+            .voters
+            .iter()
+            .filter(is_connected)
+            .cloned()
+            .collect()
     }
 
-    fn measure_group(&self, health: &GroupHealth) {
+    fn set_health_gauges(&self, health: &GroupHealth) {
         let set = |name, value: f64| self.host.metrics.gauge(name, &[]).set(value);
         set("control_voters", health.voters as f64);
         set("control_learners", health.learners as f64);
@@ -56,21 +62,23 @@
         );
     }
 
-    fn tell_no_leader(
+    fn log_no_leader(
         &mut self,
         now: Duration,
         members: &Membership,
         connected: &BTreeSet<MemberId>,
     ) {
         if self.leader.is_some() {
-            self.no_leader_due = None;
+            self.no_leader_log_due = None;
             return;
         }
-        let due = *self.no_leader_due.get_or_insert(now + SAY_NO_LEADER_EVERY);
+        let due = *self
+            .no_leader_log_due
+            .get_or_insert(now + NO_LEADER_LOG_INTERVAL);
         if now < due {
             return;
         }
-        self.no_leader_due = Some(now + SAY_NO_LEADER_EVERY);
+        self.no_leader_log_due = Some(now + NO_LEADER_LOG_INTERVAL);
         let missing = list(members.voters.difference(connected));
         self.host.log(
             &events::NO_LEADER,
--- a/src/coltsfootnotch/daemon/control/daemon/upkeep.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is done by time, apart from the log: silence, deltas, configurations, deadlines.
+//! Periodic tasks: failure detection, directory and configuration updates, deadlines.
 
 use std::time::Duration;
 
@@ -12,35 +12,35 @@
 use crate::daemon::control::host_feed::Push;
 use crate::util::events;
 
-/// Between two rounds. Relays and hosts hear of a change within two rounds and the way between, far
-/// below the 3 s in which a silent host must be known; each round of deltas costs one packet a peer.
-const UPKEEP_EVERY: Duration = Duration::from_millis(150);
-/// Between two signs of life of this host in its own registry.
-const BEAT_EVERY: Duration = Duration::from_millis(500);
-/// Between two commands that move log time on and let ledger records expire.
-const EXPIRE_EVERY: Duration = Duration::from_secs(60);
+/// Interval of maintenance rounds. A change reaches hosts within two rounds and the network delay, well
+/// below the 3 s within which a silent host has to be detected.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval of this host's heartbeats in its own registry.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval of commands that advance log time and expire ledger records.
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(60);
 const SECONDS_PER_HOUR: u32 = 3_600;
 
 impl ControlDaemon {
-    pub(super) fn upkeep(&mut self, now: Duration) {
-        self.upkeep_due = now + UPKEEP_EVERY;
-        if now >= self.beat_due {
-            self.beat_due = now + BEAT_EVERY;
-            let record = self.own_record();
-            self.relay.beat_self(now, record);
+    pub(super) fn maintain(&mut self, now: Duration) {
+        self.maintenance_due = now + MAINTENANCE_INTERVAL;
+        if now >= self.heartbeat_due {
+            self.heartbeat_due = now + HEARTBEAT_INTERVAL;
+            let record = self.local_record();
+            self.relay.record_local_heartbeat(now, record);
         }
-        self.watch_hosts(now);
-        self.found_group(now);
-        self.upkeep_seeded(now);
-        self.watch_group(now);
+        self.check_hosts(now);
+        self.bootstrap_listed(now);
+        self.maintain_seeded(now);
+        self.update_group_status(now);
         self.retry_waiting(now);
         self.expire_requests(now);
         self.expire_records(now);
-        self.tell_hosts(now);
-        self.tell_relays(now);
+        self.update_hosts(now);
+        self.update_relays(now);
     }
 
-    fn watch_hosts(&mut self, now: Duration) {
+    fn check_hosts(&mut self, now: Duration) {
         for event in self.relay.tick(now) {
             if event.kind == MemberEventKind::Silent {
                 self.host
@@ -49,17 +49,21 @@
         }
     }
 
-    fn found_group(&mut self, now: Duration) {
+    fn bootstrap_listed(&mut self, now: Duration) {
         let in_force = |r: &HostRecord| r.presence != Presence::Gone && r.config > 0;
         let is_config_in_force = self.relay.directory.hosts().any(in_force);
-        let Some(members) = self.founding.due(now, is_config_in_force) else {
+        let Some(members) = self.bootstrap.due(now, is_config_in_force) else {
             return;
         };
-        self.found(now, members);
+        self.bootstrap_group(now, members);
     }
 
-    /// Writes the first entry of the group. Refused, it stays without a group, which an operator must see.
-    pub(in crate::daemon::control) fn found(&mut self, now: Duration, members: Membership) {
+    /// Writes the group's first log entry. A refusal is logged as an error, since there is then no group.
+    pub(in crate::daemon::control) fn bootstrap_group(
+        &mut self,
+        now: Duration,
+        members: Membership,
+    ) {
         let voters = members.voters.len();
         match self.replica.core_mut().found(now, members.voters) {
             Ok(()) => self
@@ -70,20 +74,20 @@
     }
 
     fn expire_requests(&mut self, now: Duration) {
-        for (request, answer) in self.requests.expire(now) {
-            self.deliver(now, request.origin, answer);
+        for (request, response) in self.requests.expire(now) {
+            self.send_response(now, request.origin, response);
         }
     }
 
     fn expire_records(&mut self, now: Duration) {
         if now >= self.expire_due && self.replica.core().is_leader() {
-            self.expire_due = now + EXPIRE_EVERY;
-            self.replica.propose_own(now, Op::Expire);
+            self.expire_due = now + EXPIRE_INTERVAL;
+            self.replica.propose_internal(now, Op::Expire);
         }
     }
 
-    /// Sends each host what changed for it.
-    fn tell_hosts(&mut self, now: Duration) {
+    /// Sends directory changes, totals and configurations to hosts.
+    fn update_hosts(&mut self, now: Duration) {
         let run = self.host.identity.incarnation;
         let relay = &self.relay;
         for link in self.links.hosts_mut() {
@@ -101,9 +105,9 @@
 
     /// Sends the configuration to the hosts that have a lower one in force.
     ///
-    /// What this member has applied is committed but may be old, if the member is cut off. A host
-    /// with a configuration can't go back by it. A host that was restarted has none, and could be
-    /// put back behind what it had before; it asks for one that a quorum confirms.
+    /// The applied configuration is committed but may be stale if this member is partitioned. A host
+    /// without one could go back behind its previous run, so it has to request a configuration confirmed
+    /// by a quorum.
     fn push_config(&mut self, now: Duration) {
         let number = self.config.number();
         for link in self.links.hosts_mut() {
@@ -113,9 +117,9 @@
             let message = match feed.next_config(now, number) {
                 Some(Push::DeltaFrom(from)) => {
                     let delta = self.config.delta(from);
-                    delta.or_else(|| self.config.whole())
+                    delta.or_else(|| self.config.full())
                 }
-                Some(Push::Whole) => self.config.whole(),
+                Some(Push::Full) => self.config.full(),
                 None => None,
             };
             if let Some(message) = message {
@@ -124,7 +128,7 @@
         }
     }
 
-    fn tell_relays(&mut self, now: Duration) {
+    fn update_relays(&mut self, now: Duration) {
         for id in self.links.control_ids() {
             let Some(link) = self.links.get_mut(id) else {
                 continue;
@@ -138,8 +142,8 @@
         }
     }
 
-    /// Takes a configuration that has just been applied, and sends it to hosts at once.
-    pub(super) fn config_applied(&mut self, now: Duration) {
+    /// Logs a newly applied configuration and sends it to hosts.
+    pub(super) fn on_config_applied(&mut self, now: Duration) {
         if self.replica.machine().config().number() == self.config.number() {
             return;
         }
@@ -156,20 +160,20 @@
             self.set_limits(now, manifest.ledger.keep_hours);
         }
         self.push_config(now);
-        if let Some(whole) = self.config.whole() {
-            self.tell_followers(&whole);
+        if let Some(full) = self.config.full() {
+            self.broadcast_to_entries(&full);
         }
     }
 
-    /// The leader brings the ledger's limits in line with the manifest, through the log.
+    /// Proposes the ledger limits of the manifest if this member leads and they have changed.
     fn set_limits(&mut self, now: Duration, keep_hours: u32) {
         let limits = self.replica.machine().ledger().limits();
-        let wanted = LedgerLimits {
+        let required = LedgerLimits {
             retention_secs: keep_hours.saturating_mul(SECONDS_PER_HOUR),
             ..limits
         };
-        if wanted != limits {
-            self.replica.propose_own(now, Op::SetLimits(wanted));
+        if required != limits {
+            self.replica.propose_internal(now, Op::SetLimits(required));
         }
     }
 }
--- a/src/coltsfootnotch/daemon/control/daemon/mod.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/mod.rs
@@ -1,11 +1,11 @@
-//! What a control daemon does with each input, apart from threads and timers.
+//! State and input handling of a control daemon, without threads and timers.
 
 mod connections;
 mod from_hosts;
 mod from_members;
-mod group_watch;
+mod group_status;
+mod maintenance;
 mod requests;
-mod upkeep;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,35 +18,35 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::HostRecord;
 
+use super::bootstrap::Bootstrap;
 use super::config_push::ConfigPush;
 use super::disk::{Disk, DiskReport};
-use super::founding::Founding;
 use super::input::{Input, Stop};
 use super::links::Links;
 use super::packet::{MemberHello, MemberPacket};
 use super::relay::Relay;
 use super::replica::{Effect, Replica};
 use super::request_table::RequestTable;
-use super::seeded::{Finding, Seeded};
+use super::seeded::{Discovery, Seeded};
 use super::{ControlConfig, ControlError};
 use crate::core::HostCx;
 use crate::daemon::ControlAddress;
 use crate::daemon::control_dials::ControlDials;
 use crate::util::events;
 
-/// Longest time that a graceful stop waits for another leader.
-const STOP_WITHIN: Duration = Duration::from_secs(2);
+/// Longest time that a graceful stop waits for the leadership transfer.
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether the daemon goes on.
+/// Whether the daemon continues after an input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Next {
-    /// It goes on.
-    GoOn,
-    /// It ends.
-    End,
+pub(super) enum NextStep {
+    /// It continues.
+    Continue,
+    /// It stops.
+    Stop,
 }
 
-/// One control daemon: what it knows and whom it talks to.
+/// The state of a control daemon and its connections.
 pub(super) struct ControlDaemon {
     pub(super) host: HostCx,
     pub(super) replica: Replica,
@@ -59,19 +59,19 @@
     pub(super) endpoint: Endpoint,
     pub(super) disk: Disk,
     pub(super) links: Links,
-    /// The other control hosts are dialled for as long as these are kept.
+    /// The listed control hosts are dialled until these are dropped.
     _dialed: Vec<Dialed>,
-    /// Addresses that are dialled where hosts find each other.
+    /// Addresses dialled by discovery.
     pub(super) dials: ControlDials,
-    /// The part that exists only there.
+    /// Present only if hosts discover each other.
     pub(super) seeded: Option<Seeded>,
-    pub(super) founding: Founding,
+    pub(super) bootstrap: Bootstrap,
     leader: Option<MemberId>,
-    /// When it is told next that no leader is known; none while one is.
-    no_leader_due: Option<Duration>,
-    stop_by: Option<Duration>,
-    upkeep_due: Duration,
-    beat_due: Duration,
+    /// Time of the next log line on a missing leader; none while a leader is known.
+    no_leader_log_due: Option<Duration>,
+    stop_deadline: Option<Duration>,
+    maintenance_due: Duration,
+    heartbeat_due: Duration,
     expire_due: Duration,
     address: SocketAddr,
 }
@@ -84,7 +84,7 @@
         relay: RelayId,
         endpoint: Endpoint,
         disk: Disk,
-        kept_addresses: BTreeSet<SocketAddr>,
+        saved_addresses: BTreeSet<SocketAddr>,
     ) -> Self {
         let now = host.now();
         let me = host.identity.host.clone();
@@ -98,11 +98,11 @@
         };
         let seeded = cfg.seeds.as_ref();
         let seeded = seeded.map(|seeds| {
-            let finding = Finding::new(cfg.address(), !cfg.diskless, seeds, kept_addresses);
-            Seeded::new(now, finding)
+            let discovery = Discovery::new(cfg.address(), !cfg.diskless, seeds, saved_addresses);
+            Seeded::new(now, discovery)
         });
-        let own = cfg.members.iter().find(|m| m.host == me);
-        let dialed = cfg.others(&me).map(|m| dial(&endpoint, m)).collect();
+        let local = cfg.members.iter().find(|m| m.host == me);
+        let dialed = cfg.peers(&me).map(|m| dial(&endpoint, m)).collect();
         let core = Core::new(cfg.core.clone(), recovered, now, &mut rand::rng());
         Self {
             replica: Replica::new(core, cfg.batch_ledger),
@@ -110,32 +110,32 @@
             requests: RequestTable::default(),
             syncs: 0,
             config: ConfigPush::default(),
-            address: own.map_or(cfg.address(), |m| m.address),
+            address: local.map_or(cfg.address(), |m| m.address),
             endpoint,
             disk,
             links: Links::default(),
             _dialed: dialed,
             dials: ControlDials::default(),
             seeded,
-            founding: Founding::new(hello),
+            bootstrap: Bootstrap::new(hello),
             leader: None,
-            no_leader_due: None,
-            stop_by: None,
-            upkeep_due: now,
-            beat_due: now,
+            no_leader_log_due: None,
+            stop_deadline: None,
+            maintenance_due: now,
+            heartbeat_due: now,
             expire_due: now,
             host,
         }
     }
 
-    /// Takes one input in.
+    /// Handles one input.
     ///
     /// # Errors
     /// Returns an error after which the daemon must stop.
-    pub(super) fn handle(&mut self, input: Input) -> Result<Next, ControlError> {
+    pub(super) fn handle(&mut self, input: Input) -> Result<NextStep, ControlError> {
         let now = self.host.now();
         match input {
-            Input::Fabric(event) => self.on_event(now, event),
+            Input::Fabric(event) => self.on_fabric_event(now, event),
             Input::Disk(DiskReport::Synced { seq, syncs }) => {
                 self.syncs = syncs;
                 self.replica.core_mut().synced(now, seq);
@@ -143,84 +143,84 @@
             Input::Disk(DiskReport::Failed(e)) => return Err(ControlError::Write(e)),
             Input::Call(call, tx) => self.on_call(now, call, tx),
             Input::Seeds(seeds) => self.set_seeds(now, &seeds),
-            Input::Stop(Stop::Now) => return Ok(Next::End),
-            Input::Stop(Stop::Graceful) => self.begin_stop(now),
+            Input::Stop(Stop::Now) => return Ok(NextStep::Stop),
+            Input::Stop(Stop::Graceful) => self.start_stop(now),
         }
-        self.settle(now)
+        self.run_effects(now)
     }
 
-    /// Does what is due by time.
+    /// Runs timers that are due.
     ///
     /// # Errors
     /// Returns an error after which the daemon must stop.
-    pub(super) fn tick(&mut self) -> Result<Next, ControlError> {
+    pub(super) fn tick(&mut self) -> Result<NextStep, ControlError> {
         let now = self.host.now();
         self.replica.core_mut().tick(now);
-        if now >= self.upkeep_due {
-            self.upkeep(now);
+        if now >= self.maintenance_due {
+            self.maintain(now);
         }
-        self.tell_fleet(now);
-        self.settle(now)
+        self.send_fleet_load(now);
+        self.run_effects(now)
     }
 
     /// When [`ControlDaemon::tick`] is due, in time since the start.
     pub(super) fn next_due(&self) -> Duration {
-        let due = self.replica.core().next_due().min(self.upkeep_due);
-        self.seeded.as_ref().map_or(due, |s| due.min(s.fleet_due))
+        let due = self.replica.core().next_due().min(self.maintenance_due);
+        self.seeded.as_ref().map_or(due, |s| due.min(s.load_due))
     }
 
     /// Whether this daemon knows a leader and is not stopping.
     pub(super) fn is_ready(&self) -> bool {
-        self.leader.is_some() && self.stop_by.is_none()
+        self.leader.is_some() && self.stop_deadline.is_none()
     }
 
-    /// Ends the daemon: the data folder is released when this returns.
+    /// Closes the daemon and releases the data folder.
     pub(super) fn close(self) {
         self.links.close_all();
         self.endpoint.close();
         self.disk.close();
     }
 
-    /// Carries out everything that follows from what was taken in.
-    fn settle(&mut self, now: Duration) -> Result<Next, ControlError> {
+    /// Runs all effects of the handled input.
+    fn run_effects(&mut self, now: Duration) -> Result<NextStep, ControlError> {
         loop {
             let effects = self.replica.drive(now)?;
             if effects.is_empty() {
                 break;
             }
             for effect in effects {
-                self.carry_out(now, effect);
+                self.run_effect(now, effect);
             }
-            self.config_applied(now);
-            self.answer_applied(now);
+            self.on_config_applied(now);
+            self.respond_to_applied_reads(now);
         }
         Ok(self.next_step(now))
     }
 
-    fn next_step(&self, now: Duration) -> Next {
-        match self.stop_by {
-            Some(by) if now >= by || !self.replica.core().is_leader() => Next::End,
-            _ => Next::GoOn,
+    fn next_step(&self, now: Duration) -> NextStep {
+        match self.stop_deadline {
+            Some(by) if now >= by || !self.replica.core().is_leader() => NextStep::Stop,
+            _ => NextStep::Continue,
         }
     }
 
-    fn carry_out(&mut self, now: Duration, effect: Effect) {
+    fn run_effect(&mut self, now: Duration, effect: Effect) {
         match effect {
             Effect::Send(to, msg) => self.send_log(&to, msg),
             Effect::Persist(persist) => {
-                if self.founding.joined() {
-                    self.say_hello();
+                if self.bootstrap.mark_not_empty() {
+                    self.broadcast_hello();
                 }
                 self.disk.persist(persist);
             }
-            Effect::Done(request, answer) => self.done(now, request, answer),
-            Effect::Became(role, term, leader) => self.became(now, role, term, leader),
-            Effect::Members(members) => self.members_changed(&members),
+            Effect::Completed(request, response) => self.complete(now, request, response),
+            Effect::RoleChanged(role, term, leader) => self.set_role(now, role, term, leader),
+            Effect::MembersChanged(members) => self.log_members(&members),
         }
     }
 
-    fn became(&mut self, now: Duration, role: RoleKind, term: Term, leader: Option<MemberId>) {
-        let me = &self.founding.hello().member;
+    fn set_role(&mut self, now: Duration, role: RoleKind, term: Term, leader: Option<MemberId>) {
+        let me = &self.bootstrap.local_hello().member;
         let led = self.leader.as_ref() == Some(me);
         let leads = leader.as_ref() == Some(me) && role == RoleKind::Leader;
         if leads && !led {
@@ -233,37 +233,37 @@
         self.retry_waiting(now);
     }
 
-    fn begin_stop(&mut self, now: Duration) {
-        if self.stop_by.is_some() {
+    fn start_stop(&mut self, now: Duration) {
+        if self.stop_deadline.is_some() {
             return;
         }
         self.host.log(&events::SHUTDOWN_STARTED, &[]);
-        self.stop_by = Some(now + STOP_WITHIN);
-        // Without a successor this member leads to its end, and the others elect when it is gone.
+        self.stop_deadline = Some(now + STOP_TIMEOUT);
+        // Without a successor this member leads until it stops, and the others then elect a leader.
         let _ = self.replica.core_mut().transfer(now, None);
     }
 
-    pub(super) fn say_hello(&self) {
-        let hello = self.own_hello();
-        self.links.send_members(&MemberPacket::Hello(hello));
+    pub(super) fn broadcast_hello(&self) {
+        let hello = self.local_hello();
+        self.links.broadcast_to_members(&MemberPacket::Hello(hello));
     }
 
-    pub(super) fn own_hello(&self) -> MemberHello {
+    pub(super) fn local_hello(&self) -> MemberHello {
         MemberHello {
-            seeded: self.seeded.as_ref().map(|s| s.finding.hello()),
-            ..self.founding.hello().clone()
+            seeded: self.seeded.as_ref().map(|s| s.discovery.hello()),
+            ..self.bootstrap.local_hello().clone()
         }
     }
 
     fn set_seeds(&mut self, now: Duration, seeds: &[SocketAddr]) {
         if let Some(seeded) = &mut self.seeded {
-            seeded.finding.set_seeds(now, seeds);
+            seeded.discovery.set_seeds(now, seeds);
         }
-        self.say_hello();
+        self.broadcast_hello();
     }
 
-    /// Whether `host` is another control host that is not connected. What it said as a relay is kept
-    /// for its hosts' sake, and with it its own record, which only it could take back.
+    /// Whether `host` is another control host that is not connected. The directory keeps the summary of a
+    /// lost relay, including the relay's own record.
     pub(super) fn is_lost_relay(&self, host: &HostName) -> bool {
         let record = self.relay.directory.get(host);
         let profile = record.and_then(|r| r.profile.as_ref());
@@ -271,8 +271,8 @@
         is_control && *host != self.host.identity.host && !self.links.has_control(host)
     }
 
-    /// This host as the others find it.
-    fn own_record(&self) -> HostRecord {
+    /// This host's record in the directory.
+    fn local_record(&self) -> HostRecord {
         let identity = &self.host.identity;
         HostRecord {
             host: identity.host.clone(),
@@ -282,7 +282,7 @@
             address: self.address,
             config: self.machine().config().number(),
             pools: Vec::new(),
-            leaving: self.stop_by.is_some(),
+            leaving: self.stop_deadline.is_some(),
         }
     }
 
--- a/src/coltsfootnotch/daemon/control/daemon/requests.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request to the leader, and of its answer back.
+//! Routes requests to the leader and responses back to their origin.
 
 use std::time::Duration;
 
@@ -8,68 +8,77 @@
 
 use super::ControlDaemon;
 use crate::core::decode_op;
-use crate::daemon::control::packet::{Answer, Ask, MemberPacket};
-use crate::daemon::control::request_table::{Origin, Place, RequestId};
+use crate::daemon::control::packet::{LeaderRequest, LeaderResponse, MemberPacket};
+use crate::daemon::control::request_table::{Origin, RequestId, RequestState};
 
 impl ControlDaemon {
-    /// Takes a request in.
-    pub(in crate::daemon::control) fn request(&mut self, now: Duration, origin: Origin, ask: Ask) {
-        match self.requests.open(now, origin, ask) {
+    /// Opens a request and dispatches it.
+    pub(in crate::daemon::control) fn submit(
+        &mut self,
+        now: Duration,
+        origin: Origin,
+        body: LeaderRequest,
+    ) {
+        match self.requests.open(now, origin, body) {
             Ok(id) => self.dispatch(now, id),
-            Err(answer) => self.deliver(now, origin, answer),
+            Err(response) => self.send_response(now, origin, response),
         }
     }
 
-    /// Sends a request to the leader, wherever it is; without one the request goes on waiting.
+    /// Executes a request if this member leads, or forwards it to the leader. Without a known leader it
+    /// keeps waiting.
     fn dispatch(&mut self, now: Duration, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         if self.replica.core().is_leader() {
-            let ask = request.ask.clone();
-            self.requests.put(now, id, Place::Here);
-            return self.lead(now, id, ask);
+            let body = request.body.clone();
+            self.requests.set_state(now, id, RequestState::Local);
+            return self.execute(now, id, body);
         }
         let Some(leader) = &self.leader else {
             return;
         };
         if let Some((link_id, link)) = self.links.control(&leader.host) {
-            let ask = request.ask.clone();
-            link.send_member(&MemberPacket::Ask { id: id.0, ask });
-            self.requests.put(now, id, Place::Sent(link_id));
+            let body = request.body.clone();
+            link.send_member(&MemberPacket::Request { id: id.0, body });
+            self.requests
+                .set_state(now, id, RequestState::Forwarded(link_id));
         }
     }
 
-    /// Does as the leader what was asked.
-    fn lead(&mut self, now: Duration, id: RequestId, ask: Ask) {
-        match ask {
-            Ask::Propose(bytes) => match decode_op(&bytes) {
+    /// Executes a request as the leader.
+    fn execute(&mut self, now: Duration, id: RequestId, body: LeaderRequest) {
+        match body {
+            LeaderRequest::Propose(bytes) => match decode_op(&bytes) {
                 Ok(op) => self.replica.propose(now, id, op),
                 Err(_) => {
-                    let answer = Answer::Proposed(Err(ProposeError::BadCommand));
-                    self.done(now, id, answer);
+                    let response = LeaderResponse::Proposed(Err(ProposeError::BadCommand));
+                    self.complete(now, id, response);
                 }
             },
-            Ask::Read => self.replica.read(now, id),
-            Ask::Admit { host, replaces } => match self.admission(&host, replaces.as_ref()) {
-                Ok(change) => self.replica.change(now, id, &change),
-                Err(error) => self.done(now, id, Answer::Members(Err(error))),
-            },
-            Ask::Remove { host } => match self.removal(host) {
+            LeaderRequest::Read => self.replica.read(now, id),
+            LeaderRequest::Admit { host, replaces } => {
+                match self.addition(&host, replaces.as_ref()) {
+                    Ok(change) => self.replica.change(now, id, &change),
+                    Err(error) => self.complete(now, id, LeaderResponse::Members(Err(error))),
+                }
+            }
+            LeaderRequest::Remove { host } => match self.removal(host) {
                 Ok(change) => self.replica.change(now, id, &change),
-                Err(error) => self.done(now, id, Answer::Members(Err(error))),
+                Err(error) => self.complete(now, id, LeaderResponse::Members(Err(error))),
             },
         }
     }
 
-    /// The change that admits the member which runs on `host` now.
-    fn admission(
+    /// The change that adds the member currently running on `host`.
+    fn addition(
         &self,
         host: &HostName,
         replaces: Option<&HostName>,
     ) -> Result<MemberChange, MembersError> {
-        let newcomer = self.founding.member_on(host).cloned();
-        let member = newcomer.ok_or_else(|| MembersError::NotConnected { host: host.clone() })?;
+        let new_member = self.bootstrap.member_on(host).cloned();
+        let member = new_member.ok_or_else(|| MembersError::NotConnected { host: host.clone() })?;
         let members = self.replica.core().status().members;
         let replaces = match replaces {
             Some(old) => {
@@ -91,77 +100,83 @@
         Ok(MemberChange::Remove { member })
     }
 
-    /// Takes the answer to a request.
-    pub(super) fn done(&mut self, now: Duration, id: RequestId, answer: Answer) {
+    /// Handles the response to a request.
+    pub(super) fn complete(&mut self, now: Duration, id: RequestId, response: LeaderResponse) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        match (&answer, request.origin) {
-            // Nothing was done, so it can be asked again; a member asks by itself.
-            (Answer::NotLeader, origin) if !matches!(origin, Origin::Member(..)) => {
-                self.requests.put(now, id, Place::Waiting);
+        match (&response, request.origin) {
+            // The request had no effect and can be retried; other members retry by themselves.
+            (LeaderResponse::NotLeader, origin) if !matches!(origin, Origin::Member(..)) => {
+                self.requests.set_state(now, id, RequestState::Waiting);
             }
-            (Answer::Read(index), origin) if !matches!(origin, Origin::Member(..)) => {
-                self.requests.put(now, id, Place::Applying(*index));
-                self.answer_applied(now);
+            (LeaderResponse::Read(index), origin) if !matches!(origin, Origin::Member(..)) => {
+                self.requests
+                    .set_state(now, id, RequestState::Applying(*index));
+                self.respond_to_applied_reads(now);
             }
             (_, origin) => {
                 self.requests.close(id);
-                self.deliver(now, origin, answer);
+                self.send_response(now, origin, response);
             }
         }
     }
 
-    /// Answers the reads whose state is applied here.
-    pub(super) fn answer_applied(&mut self, now: Duration) {
+    /// Responds to reads whose index is applied by this member.
+    pub(super) fn respond_to_applied_reads(&mut self, now: Duration) {
         for id in self.requests.applied(self.replica.applied()) {
             let origin = self.requests.close(id).map(|request| request.origin);
             match origin {
                 Some(Origin::Confirm(link, id)) => {
                     let config = Ok(self.config_body());
-                    self.tell(link, FromRelay::ConfigConfirmed { id, config });
+                    self.send_to_host(link, FromRelay::ConfigConfirmed { id, config });
                 }
-                Some(Origin::Call(id)) => self.answer_read_call(id),
-                Some(Origin::Leases) => self.end_lease_read(now, true),
+                Some(Origin::Call(id)) => self.respond_to_read(id),
+                Some(Origin::Leases) => self.finish_lease_read(now, true),
                 Some(Origin::Propose(..) | Origin::Members(..) | Origin::Member(..)) | None => {}
             }
         }
     }
 
-    /// Sends the requests that waited for a leader.
+    /// Dispatches the requests that wait for a leader.
     pub(super) fn retry_waiting(&mut self, now: Duration) {
         for id in self.requests.waiting() {
             self.dispatch(now, id);
         }
     }
 
-    /// Gives an answer to whoever asked.
-    pub(super) fn deliver(&mut self, now: Duration, origin: Origin, answer: Answer) {
+    /// Sends a response to the origin of its request.
+    pub(super) fn send_response(
+        &mut self,
+        now: Duration,
+        origin: Origin,
+        response: LeaderResponse,
+    ) {
         match origin {
             Origin::Member(link, id) => {
                 if let Some(link) = self.links.get(link) {
-                    link.send_member(&MemberPacket::Answer { id, answer });
+                    link.send_member(&MemberPacket::Response { id, response });
                 }
             }
-            Origin::Call(id) => self.answer_call(id, &answer),
-            Origin::Leases => self.end_lease_read(now, false),
+            Origin::Call(id) => self.finish_call(id, &response),
+            Origin::Leases => self.finish_lease_read(now, false),
             Origin::Propose(link, id) => {
-                let reply = match answer {
-                    Answer::Proposed(reply) => reply,
+                let reply = match response {
+                    LeaderResponse::Proposed(reply) => reply,
                     _ => Err(ProposeError::NoQuorum),
                 };
-                self.tell(link, FromRelay::Proposed { id, reply });
+                self.send_to_host(link, FromRelay::Proposed { id, reply });
             }
             Origin::Confirm(link, id) => {
                 let config = Err(ProposeError::NoQuorum);
-                self.tell(link, FromRelay::ConfigConfirmed { id, config });
+                self.send_to_host(link, FromRelay::ConfigConfirmed { id, config });
             }
             Origin::Members(link, id) => {
-                let outcome = match answer {
-                    Answer::Members(outcome) => outcome,
+                let outcome = match response {
+                    LeaderResponse::Members(outcome) => outcome,
                     _ => Err(MembersError::NoQuorum),
                 };
-                self.tell(link, FromRelay::Members { id, outcome });
+                self.send_to_host(link, FromRelay::Members { id, outcome });
             }
         }
     }
--- a/src/coltsfootnotch/daemon/control/disk.rs
+++ b/src/coltsfootnotch/daemon/control/disk.rs
@@ -1,8 +1,7 @@
 //! The thread that owns the data folder.
 //!
-//! A sync takes milliseconds, in which many proposals arrive. The thread drains everything that
-//! waits before it syncs once (group commit): without that, a burst of bookings would take one sync
-//! each and the disk alone would bound the commits a second.
+//! It writes all queued work before each sync (group commit), so that sync latency doesn't limit the
+//! commit rate.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -17,26 +16,26 @@
 
 use super::address_file;
 
-/// Quiet time after which the number of the last sync is synced as well.
-const SETTLE_AFTER: Duration = Duration::from_millis(200);
+/// Idle time after which the number of the last sync is synced as well.
+const IDLE_SYNC_DELAY: Duration = Duration::from_millis(200);
 
-/// What became of work.
+/// Outcome of work on the data folder.
 #[derive(Debug)]
 pub(super) enum DiskReport {
-    /// All work up to this number is durable.
+    /// All writes up to this number are durable.
     Synced {
-        /// The last piece of work.
+        /// The last durable write.
         seq: PersistSeq,
-        /// Syncs so far.
+        /// Number of syncs since the start.
         syncs: u64,
     },
-    /// The folder can't be used any more; the daemon must stop.
+    /// The folder is unusable; the daemon must stop.
     Failed(StorageError),
 }
 
-/// Hands work to the thread, which ends when this is dropped.
+/// Sends work to the thread, which exits when this is dropped.
 pub(super) struct Disk {
-    /// Absent on a host without a disk, which is never a member and so has nothing to keep.
+    /// Absent on a host without a disk, which is never a member and persists nothing.
     worker: Option<Worker>,
 }
 
@@ -52,7 +51,7 @@
 }
 
 impl Disk {
-    /// Starts the thread; `report` is called on it.
+    /// Starts the thread, which calls `report` with each outcome.
     pub(super) fn spawn(
         storage: Storage,
         dir: &Path,
@@ -77,20 +76,20 @@
 
     pub(super) fn persist(&self, persist: Persist) {
         let worker = self.worker.as_ref();
-        let worker = worker.expect("a host without a disk is no member, and persists nothing");
-        // The thread ends early only after it has reported why.
+        let worker = worker.expect("a host without a disk is never a member and persists nothing");
+        // The thread exits early only after reporting a failure.
         let _ = worker.work.send(Work::Log(persist));
     }
 
-    /// Keeps the addresses of other control hosts.
-    pub(super) fn keep_addresses(&self, addresses: BTreeSet<SocketAddr>) {
+    /// Stores the addresses of other control hosts.
+    pub(super) fn save_addresses(&self, addresses: BTreeSet<SocketAddr>) {
         if let Some(worker) = &self.worker {
-            // The thread ends early only after it has reported why.
+            // The thread exits early only after reporting a failure.
             let _ = worker.work.send(Work::Addresses(addresses));
         }
     }
 
-    /// Waits until all work is done and the folder is released.
+    /// Completes all queued work and releases the folder.
     pub(super) fn close(self) {
         if let Some(Worker { work, thread }) = self.worker {
             drop(work);
@@ -99,7 +98,7 @@
     }
 }
 
-/// What the thread owns.
+/// State owned by the thread.
 struct Files {
     storage: Storage,
     dir: PathBuf,
@@ -107,8 +106,8 @@
 
 fn run(files: &mut Files, rx: &Receiver<Work>, report: impl Fn(DiskReport)) {
     loop {
-        let done = match rx.recv_timeout(SETTLE_AFTER) {
-            Ok(first) => files.take_up(first, rx),
+        let done = match rx.recv_timeout(IDLE_SYNC_DELAY) {
+            Ok(first) => files.process_pending(first, rx),
             Err(RecvTimeoutError::Timeout) => files.storage.settle().map(|()| None),
             Err(RecvTimeoutError::Disconnected) => return,
         };
@@ -124,8 +123,8 @@
 }
 
 impl Files {
-    /// Does everything that waits; the last work of the log that is synced, if there was any.
-    fn take_up(
+    /// Writes all queued work and syncs once; returns the last synced log write, if any.
+    fn process_pending(
         &mut self,
         first: Work,
         rx: &Receiver<Work>,
@@ -143,15 +142,15 @@
         }
         let synced = to_sync.then(|| self.storage.sync()).transpose()?;
         if let Some(addresses) = addresses {
-            self.keep(&addresses);
+            self.save(&addresses);
         }
         Ok(synced)
     }
 
-    /// Without the file a restart has only the seeds, as a new host does, so a failure ends nothing.
-    fn keep(&self, addresses: &BTreeSet<SocketAddr>) {
+    /// Stores the addresses. A failure is only logged: a restart falls back to the seeds.
+    fn save(&self, addresses: &BTreeSet<SocketAddr>) {
         if let Err(e) = address_file::save(&self.dir, addresses) {
-            log::warn!("the addresses of the other control hosts are not kept: {e}");
+            log::warn!("failed to store the addresses of other control hosts: {e}");
         }
     }
 }
--- a/src/coltsfootnotch/daemon/control/epoch.rs
+++ b/src/coltsfootnotch/daemon/control/epoch.rs
@@ -1,8 +1,8 @@
-//! The number of this start, kept in the data folder.
+//! The start counter of this host, stored in the data folder.
 //!
-//! Summaries of hosts and sums of service are merged by the higher run of a relay. A number drawn at
-//! random could make the later run the lower one, and the other relays would keep the earlier run's
-//! hosts for minutes.
+//! Other relays merge host summaries and service sums by the highest epoch of a relay. The counter
+//! ensures that a later run has a higher epoch; with a lower one, peers keep the earlier run's hosts
+//! for minutes.
 
 use std::fs;
 use std::io;
@@ -11,26 +11,26 @@
 
 use coltsfootnotch_membership::Epoch;
 
-use super::kept_file;
+use super::atomic_file;
 
 const NAME: &str = "relay-epoch";
 
-/// Counts this start, and returns its number once it is synced.
+/// Increments the stored counter and returns it after it is synced.
 ///
-/// The calendar clock only gives a first number to an empty folder, so that a member whose disk was
-/// lost does not start below its earlier runs; later starts count up from what is stored.
+/// In an empty folder the counter starts at the wall-clock time in seconds, so that a member that lost
+/// its disk doesn't start below its earlier runs.
 ///
 /// # Errors
-/// Returns an error when the number can't be read or written; starting without it could give two
-/// runs one number.
+/// Returns an error when the number can't be read or written, since two runs could then share an
+/// epoch.
 pub(super) fn next(dir: &Path) -> io::Result<Epoch> {
     fs::create_dir_all(dir)?;
-    let stored = match kept_file::read(dir, NAME)? {
+    let stored = match atomic_file::read(dir, NAME)? {
         Some(text) => text.trim().parse().map_err(io::Error::other)?,
         None => calendar_seconds(),
     };
     let epoch: u64 = stored + 1;
-    kept_file::replace(dir, NAME, &format!("{epoch}\n"))?;
+    atomic_file::replace(dir, NAME, &format!("{epoch}\n"))?;
     Ok(Epoch(epoch))
 }
 
--- a/src/coltsfootnotch/daemon/control/error.rs
+++ b/src/coltsfootnotch/daemon/control/error.rs
@@ -1,4 +1,4 @@
-//! Why a control daemon can't start, or had to stop.
+//! Errors of a control daemon.
 
 use std::io;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use coltsfootnotch_state::{CodecError, SnapshotError};
 use derive_more::{Display, Error, From};
 
-/// Why a control daemon can't start, or had to stop.
+/// An error that prevents a control daemon from starting, or stops it.
 #[derive(Debug, Display, Error, From)]
 pub enum ControlError {
     /// The settings name no data folder.
@@ -27,7 +27,7 @@
     /// The certificate or key can't be used.
     #[display("the credentials can't be used")]
     Credentials(CredentialsError),
-    /// The certificate is that of another process.
+    /// The certificate was issued to another host or role.
     #[display("the certificate names another host or role")]
     OtherIdentity,
     /// The host is not in its own list of control hosts.
@@ -36,34 +36,34 @@
     /// The fleet address can't be bound.
     #[display("the fleet endpoint can't be opened")]
     Endpoint(EndpointError),
-    /// A thread can't be started, or ended without a word.
+    /// A thread can't be started, or stopped unexpectedly.
     #[display("a thread of the daemon failed")]
     #[from(skip)]
     Thread(io::Error),
-    /// The number of starts can't be kept in the data folder.
-    #[display("the number of starts can't be kept in the data folder")]
+    /// The start counter in the data folder can't be read or written.
+    #[display("the start counter in the data folder can't be updated")]
     #[from(skip)]
     Epoch(io::Error),
-    /// The addresses of the other control hosts can't be read back.
+    /// The stored addresses of the other control hosts can't be read.
     #[display("the addresses of the other control hosts can't be read")]
     #[from(skip)]
     Addresses(io::Error),
-    /// The data folder can't be read back.
+    /// The data folder can't be opened or is damaged.
     #[display("the data folder can't be opened")]
     #[from(skip)]
     Open(StorageError),
-    /// A write could not be made durable; what it held was not acknowledged.
+    /// A write could not be made durable; its content was not acknowledged.
     #[display("a write could not be made durable")]
     #[from(skip)]
     Write(StorageError),
-    /// A snapshot of the state can't be read, though it is whole on the disk.
+    /// A snapshot passed its checksum but can't be decoded.
     #[display("a snapshot of the state can't be read")]
     Snapshot(SnapshotError),
-    /// A committed command can't be read: another member runs a later program.
+    /// A committed command can't be decoded, as when another member runs a later version.
     #[display("the committed command at {index} can't be read")]
     #[from(skip)]
     Command {
-        /// Its place in the log.
+        /// Its index in the log.
         index: LogIndex,
         /// The cause.
         source: CodecError,
@@ -71,7 +71,7 @@
 }
 
 impl ControlError {
-    /// Whether what the disk holds is damaged, so that this member must be replaced.
+    /// Whether the stored data is damaged, so that this member has to be replaced.
     #[must_use]
     pub fn is_corrupt(&self) -> bool {
         match self {
--- a/src/coltsfootnotch/daemon/control/group_health.rs
+++ b/src/coltsfootnotch/daemon/control/group_health.rs
@@ -1,26 +1,26 @@
-//! How many further losses a control group bears, as one member sees it.
+//! Fault tolerance of a control group, as seen by one member.
 
 use std::collections::BTreeSet;
 
 use coltsfootnotch_consensus::{MemberId, Membership};
 
-/// How many further losses a control group bears, as one member sees it.
+/// Fault tolerance of a control group, as seen by one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupHealth {
-    /// Voters of the group.
+    /// Number of voters.
     pub voters: usize,
-    /// Members that receive the log and have no vote.
+    /// Number of members without a vote.
     pub learners: usize,
-    /// Voters that are connected, this member included.
+    /// Number of connected voters, including this member.
     pub connected: usize,
-    /// Voters of which a majority consists.
+    /// Size of a majority of the voters.
     pub needed: usize,
 }
 
 impl GroupHealth {
     /// The health of `members`, of which `connected` are reachable.
     ///
-    /// A voter whose host came back with an empty disk is another member and does not count.
+    /// A host that returned with an empty disk is a different member and doesn't count for its old voter.
     #[must_use]
     pub fn of(members: &Membership, connected: &BTreeSet<MemberId>) -> Self {
         Self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// How many further voters can be lost before there is no majority; negative where voters are missing.
+    /// How many more voters can be lost without losing the majority; negative without a majority.
     ///
     /// ```
     /// use coltsfootnotch::daemon::control::group_health::GroupHealth;
--- a/src/coltsfootnotch/daemon/control/handle.rs
+++ b/src/coltsfootnotch/daemon/control/handle.rs
@@ -1,4 +1,4 @@
-//! A control daemon from outside its thread.
+//! Handle to a control daemon that runs on its own thread.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use super::input::{Input, Stop};
 use super::seeded::{Call, CallReply};
 
-/// What the daemon's thread tells whoever holds the handle.
+/// State shared between the daemon's thread and its handle.
 #[derive(Debug, Default)]
 pub(super) struct Shared {
     ready: AtomicBool,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A running control daemon. It goes on when the handle is dropped; see [`ControlHandle::stop`].
+/// A running control daemon. Dropping the handle doesn't stop it; see [`ControlHandle::stop`].
 pub struct ControlHandle {
     pub(super) address: SocketAddr,
     pub(super) traffic: Arc<Traffic>,
@@ -53,19 +53,20 @@
         self.address
     }
 
-    /// Control traffic so far.
+    /// Counters of the endpoint's traffic.
     #[must_use]
     pub fn traffic(&self) -> Arc<Traffic> {
         Arc::clone(&self.traffic)
     }
 
-    /// Says whether the daemon knows a leader and does not stop; for `/readyz`.
+    /// A closure that reports whether the daemon knows a leader and is not stopping, for `/readyz`.
     pub fn readiness(&self) -> impl Fn() -> bool + Send + Sync + use<> {
         let shared = Arc::clone(&self.shared);
         move || shared.ready.load(Ordering::Relaxed)
     }
 
-    /// A closure by which operators and upstreams call; the answer never comes once the daemon ends.
+    /// A closure that submits calls of operators and upstreams; the reply channel closes without a reply
+    /// if the daemon stops.
     pub fn caller(
         &self,
     ) -> impl Fn(Call) -> oneshot::Receiver<CallReply> + Clone + Send + Sync + 'static + use<> {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// A closure by which the daemon is told of other seeds.
+    /// A closure that replaces the daemon's seed addresses.
     pub fn seeder(&self) -> impl Fn(Vec<SocketAddr>) + Send + 'static + use<> {
         let channel = self.channel.clone();
         move |seeds| {
@@ -85,12 +86,12 @@
         }
     }
 
-    /// Begins a graceful stop: the leadership is handed over first.
+    /// Starts a graceful stop, which transfers the leadership first.
     pub fn stop(&self) {
         self.channel.send(Input::Stop(Stop::Graceful));
     }
 
-    /// A closure that begins a graceful stop.
+    /// A closure that starts a graceful stop.
     pub fn stopper(&self) -> impl Fn() + Send + 'static + use<> {
         let channel = self.channel.clone();
         move || {
@@ -98,21 +99,21 @@
         }
     }
 
-    /// Ends the daemon at once, as a second signal does. Nothing that was acknowledged is lost.
+    /// Stops the daemon at once, as a second signal does. Acknowledged writes are not lost.
     pub fn kill(&self) {
         self.channel.send(Input::Stop(Stop::Now));
     }
 
-    /// Whether the daemon has ended.
+    /// Whether the daemon has stopped.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits until the daemon has ended and its data folder is released.
+    /// Waits until the daemon has stopped and its data folder is released.
     ///
     /// # Errors
-    /// Returns why it had to stop by itself, such as a write that could not be synced.
+    /// Returns the error that stopped the daemon, such as a failed sync.
     pub fn join(self) -> Result<(), ControlError> {
         if self.thread.join().is_err() {
             let source = io::Error::other("the daemon's thread panicked");
--- a/src/coltsfootnotch/daemon/control/host_feed.rs
+++ b/src/coltsfootnotch/daemon/control/host_feed.rs
@@ -1,4 +1,4 @@
-//! What one host said over its connection, and what it was told.
+//! State of a host's connection: what it has reported and what was sent to it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,32 +9,32 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{FromRelay, Heartbeat, HostRecord, ServedPool, ServiceBatch};
 
-/// Time after which a configuration is sent again to a host that does not report it in force.
-const PUSH_AGAIN_AFTER: Duration = Duration::from_secs(2);
+/// Time after which a configuration is resent to a host that doesn't report it in force.
+const PUSH_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Time after which a host that still has no directory gets the whole again.
-const WHOLE_AGAIN_AFTER: Duration = Duration::from_secs(2);
+/// Time after which the full directory is resent to a host that still reports none.
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What one host said over its connection, and what it was told.
+/// State of a host's connection: what it has reported and what was sent to it.
 #[derive(Debug)]
 pub(super) struct HostFeed {
-    /// The configuration that the host has in force, by its last heartbeat.
+    /// The configuration that the host reported as in force in its last heartbeat.
     pub(super) config: u64,
     profile: Profile,
     profile_version: u32,
     view: ViewFeed,
-    whole_sent: Option<Duration>,
+    full_sent: Option<Duration>,
     sums: SumsFeed,
-    /// Accounts whose totals the host wants, with what it has reported of each to any relay.
+    /// Accounts whose totals the host watches, with the service that it has reported to any relay.
     watched: BTreeMap<AccountName, ServiceUnits>,
-    /// The last batch taken over this connection.
-    reported: u64,
-    told: BTreeMap<AccountName, ServiceUnits>,
-    pushed: Option<(u64, Duration)>,
+    /// Number of the last service batch recorded on this connection.
+    last_batch: u64,
+    sent_totals: BTreeMap<AccountName, ServiceUnits>,
+    last_push: Option<(u64, Duration)>,
 }
 
 impl HostFeed {
-    /// A feed for a host that has just sent its first heartbeat on this connection.
+    /// Creates the feed on the first heartbeat of a connection.
     pub(super) fn new(heartbeat: &Heartbeat) -> Self {
         let record = &heartbeat.record;
         Self {
@@ -42,25 +42,25 @@
             profile: profile(record),
             profile_version: 1,
             view: view_of(record),
-            whole_sent: None,
+            full_sent: None,
             sums: SumsFeed::default(),
             watched: BTreeMap::new(),
-            reported: 0,
-            told: BTreeMap::new(),
-            pushed: None,
+            last_batch: 0,
+            sent_totals: BTreeMap::new(),
+            last_push: None,
         }
     }
 
-    /// Takes a heartbeat; returns it as the registry wants it.
-    pub(super) fn hear(&mut self, now: Duration, heartbeat: &Heartbeat) -> MemberHeartbeat {
+    /// Records a heartbeat; returns it in the registry's form.
+    pub(super) fn on_heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> MemberHeartbeat {
         let record = &heartbeat.record;
-        let long_sent = self
-            .whole_sent
-            .is_some_and(|at| now >= at + WHOLE_AGAIN_AFTER);
-        if heartbeat.directory == 0 && long_sent {
-            // The host has lost what it was told.
+        let is_overdue = self
+            .full_sent
+            .is_some_and(|at| now >= at + FULL_RETRY_AFTER);
+        if heartbeat.directory == 0 && is_overdue {
+            // The host has lost the directory that was sent to it.
             self.view = view_of(record);
-            self.whole_sent = None;
+            self.full_sent = None;
         }
         let profile = profile(record);
         if profile != self.profile {
@@ -71,30 +71,30 @@
         member_heartbeat(heartbeat, self.profile_version, &self.profile)
     }
 
-    /// Takes what a batch says of watched accounts, once.
-    pub(super) fn report(&mut self, batch: &ServiceBatch) {
-        if batch.seq <= self.reported {
+    /// Records the watched accounts and service of a batch; a repeated batch is ignored.
+    pub(super) fn on_service_batch(&mut self, batch: &ServiceBatch) {
+        if batch.seq <= self.last_batch {
             return;
         }
-        self.reported = batch.seq;
+        self.last_batch = batch.seq;
         for (account, units) in &batch.served {
-            if let Some(own) = self.watched.get_mut(account) {
-                *own += *units;
+            if let Some(local) = self.watched.get_mut(account) {
+                *local += *units;
             }
         }
-        for (account, own) in &batch.watch {
-            self.watched.insert(account.clone(), *own);
+        for (account, local) in &batch.watch {
+            self.watched.insert(account.clone(), *local);
         }
         self.sums
             .ask(batch.watch.iter().map(|(account, _)| account));
         for account in &batch.unwatch {
             self.watched.remove(account);
-            self.told.remove(account);
+            self.sent_totals.remove(account);
         }
         self.sums.drop(&batch.unwatch);
     }
 
-    /// The hosts that are new, changed or gone for this host.
+    /// The directory changes since the last update for this host.
     pub(super) fn next_directory(
         &mut self,
         now: Duration,
@@ -103,47 +103,47 @@
     ) -> Option<FromRelay> {
         let delta = self.view.next(now, directory)?;
         if delta.from == 0 {
-            self.whole_sent = Some(now);
+            self.full_sent = Some(now);
         }
         Some(FromRelay::Directory {
             relay,
             version: delta.to,
-            // Until the relay has settled a host missing here may only not have been heard yet.
+            // Before the relay has settled, a missing host may not have sent a heartbeat yet.
             full: delta.from == 0 && delta.settled,
             changed: delta.upserts.iter().filter_map(record).collect(),
             gone: delta.removed,
         })
     }
 
-    /// The totals of watched accounts that changed, without what the host itself reported: it counts
-    /// its own service at once, and told the whole total it would count it twice.
+    /// Changed totals of watched accounts, without the host's own service, which it counts itself.
     pub(super) fn next_totals(&mut self, sums: &RelaySums) -> Option<FromRelay> {
         let mut elsewhere = Vec::new();
         for (account, total) in self.sums.next(sums) {
-            let own = self.watched.get(&account).copied().unwrap_or_default();
-            let others = ServiceUnits(total.0.saturating_sub(own.0));
-            if self.told.insert(account.clone(), others) != Some(others) {
+            let local = self.watched.get(&account).copied().unwrap_or_default();
+            let others = ServiceUnits(total.0.saturating_sub(local.0));
+            if self.sent_totals.insert(account.clone(), others) != Some(others) {
                 elsewhere.push((account, others));
             }
         }
         (!elsewhere.is_empty()).then_some(FromRelay::Totals { elsewhere })
     }
 
-    /// How the configuration `number` is to be sent now, if it is; notes that it is.
+    /// How to send the configuration `number` now, if it is due; records that it was sent.
     ///
-    /// A host that does not report it in time could not use the delta, and gets the whole.
+    /// A host that doesn't report it in time may not have been able to apply the delta, and gets the full
+    /// configuration.
     pub(super) fn next_config(&mut self, now: Duration, number: u64) -> Option<Push> {
         if self.config >= number {
             return None;
         }
-        match self.pushed {
-            Some((sent, at)) if sent == number && now < at + PUSH_AGAIN_AFTER => None,
+        match self.last_push {
+            Some((sent, at)) if sent == number && now < at + PUSH_RETRY_AFTER => None,
             Some((sent, _)) if sent == number => {
-                self.pushed = Some((number, now));
-                Some(Push::Whole)
+                self.last_push = Some((number, now));
+                Some(Push::Full)
             }
             _ => {
-                self.pushed = Some((number, now));
+                self.last_push = Some((number, now));
                 Some(Push::DeltaFrom(self.config))
             }
         }
@@ -153,17 +153,17 @@
 /// How a configuration is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Push {
-    /// As a delta from this number, or whole where there is none.
+    /// As a delta from this number, or in full without such a delta.
     DeltaFrom(u64),
-    /// Whole.
-    Whole,
+    /// In full.
+    Full,
 }
 
 fn view_of(record: &HostRecord) -> ViewFeed {
     ViewFeed::new(record.host.clone(), record.domain.clone(), record.role)
 }
 
-/// A wire heartbeat as the registry wants it.
+/// Converts a wire heartbeat for the registry.
 pub(super) fn member_heartbeat(
     heartbeat: &Heartbeat,
     profile_version: u32,
@@ -183,7 +183,7 @@
     }
 }
 
-/// What a host says about itself, as the registry keeps it.
+/// The registry's profile of a host record.
 pub(super) fn profile(record: &HostRecord) -> Profile {
     let domain = &record.domain;
     Profile {
@@ -205,7 +205,7 @@
     }
 }
 
-/// A contact as hosts are told it; none for one without an address.
+/// The wire record of a contact; none without an address.
 fn record(contact: &Contact) -> Option<HostRecord> {
     Some(HostRecord {
         host: contact.host.clone(),
--- a/src/coltsfootnotch/daemon/control/input.rs
+++ b/src/coltsfootnotch/daemon/control/input.rs
@@ -1,4 +1,4 @@
-//! What comes to the daemon's actor.
+//! Inputs of the daemon's actor.
 
 use std::net::SocketAddr;
 
@@ -8,25 +8,25 @@
 use super::disk::DiskReport;
 use super::seeded::{Call, CallReply};
 
-/// How the daemon is to end.
+/// How to stop the daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stop {
-    /// Hands the leadership over first.
+    /// Transfers the leadership first.
     Graceful,
     /// At once.
     Now,
 }
 
-/// What comes to the daemon's actor, from other threads.
+/// Input of the daemon's actor, sent by other threads.
 #[derive(Debug)]
 pub(super) enum Input {
     /// From the fleet endpoint.
     Fabric(Event),
     /// From the thread that owns the data folder.
     Disk(DiskReport),
-    /// An operator or an upstream calls over HTTP.
+    /// An HTTP call of an operator or an upstream.
     Call(Call, oneshot::Sender<CallReply>),
-    /// The settings name other seeds now.
+    /// New seeds from changed settings.
     Seeds(Vec<SocketAddr>),
     /// From the handle.
     Stop(Stop),
--- a/src/coltsfootnotch/daemon/control/links.rs
+++ b/src/coltsfootnotch/daemon/control/links.rs
@@ -1,4 +1,4 @@
-//! The connections that stand, by peer.
+//! Open connections by peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,22 +10,22 @@
 use super::packet::MemberPacket;
 use super::relay_feed::RelayFeed;
 
-/// One connection.
+/// An open connection.
 pub(super) struct Link {
-    /// Who is at the other end.
+    /// The peer at the other end.
     pub(super) peer: PeerId,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub(super) incarnation: Incarnation,
-    /// What the host was told, once it has sent a heartbeat.
+    /// State of the host, present after its first heartbeat.
     pub(super) host: Option<HostFeed>,
-    /// What the other relay was told.
+    /// State of the updates sent to the other relay.
     pub(super) relay: RelayFeed,
     tx: LinkTx,
 }
 
 impl Link {
-    /// Sends a message. One too large for a frame can't be sent at all: the connection is closed,
-    /// so that the peer does not go on as if nothing had been left out.
+    /// Sends a message. If it is too large for a frame, the connection is closed, so that the peer doesn't
+    /// miss a message unnoticed.
     pub(super) fn send(&self, message: &Message) {
         if self.tx.send(message).is_err() {
             self.tx.close();
@@ -46,10 +46,10 @@
     }
 }
 
-/// The connections that stand.
+/// Open connections.
 ///
-/// Two control hosts dial each other, so there may be two connections between them: the newest is
-/// used, and the other takes over when it is gone.
+/// Control hosts dial each other, so there may be two connections between them. The newest is used, and
+/// the other after it closes.
 #[derive(Default)]
 pub(super) struct Links {
     by_id: BTreeMap<LinkId, Link>,
@@ -97,7 +97,7 @@
         Some((id, self.by_id.get(&id)?))
     }
 
-    /// The connections to use for the control hosts.
+    /// The connection to use for each control host.
     pub(super) fn control_ids(&self) -> Vec<LinkId> {
         let newest = self.controls.values().filter_map(BTreeSet::last);
         newest.copied().collect()
@@ -108,14 +108,14 @@
         self.controls.contains_key(host)
     }
 
-    /// Every connection over which a host has sent a heartbeat.
+    /// Connections on which a heartbeat was received.
     pub(super) fn hosts_mut(&mut self) -> impl Iterator<Item = &mut Link> {
         let all = self.by_id.values_mut();
         all.filter(|link| link.host.is_some())
     }
 
-    /// Sends a packet on every connection to a control host.
-    pub(super) fn send_members(&self, packet: &MemberPacket) {
+    /// Sends a packet to every connected control host.
+    pub(super) fn broadcast_to_members(&self, packet: &MemberPacket) {
         for id in self.control_ids() {
             if let Some(link) = self.get(id) {
                 link.send_member(packet);
--- a/src/coltsfootnotch/daemon/control/packet.rs
+++ b/src/coltsfootnotch/daemon/control/packet.rs
@@ -1,8 +1,8 @@
-//! What control hosts say to each other, besides what the packages define.
+//! Packets between control hosts that no other crate defines.
 //!
 //! A [`MemberPacket`] travels inside `Message::Member`, a [`RelayPacket`] inside
-//! `Message::BetweenRelays`; the connection's certificate has already shown that a control host
-//! sent them.
+//! `Message::BetweenRelays`; the connection's certificate has already authenticated the sender as a
+//! control host.
 
 use coltsfootnotch_consensus::{MemberId, Message};
 use coltsfootnotch_membership::{SummaryDelta, SumsDelta};
@@ -12,67 +12,67 @@
 
 use super::seeded::SeededHello;
 
-/// Between members of the control group.
+/// A packet between members of the control group.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum MemberPacket {
-    /// The first packet of a connection, and again when it changes.
+    /// The first packet of a connection; sent again after changes.
     Hello(MemberHello),
     /// A message of the replicated log.
     Log {
-        /// Who sent it.
+        /// The sender.
         from: MemberId,
         /// The message.
         msg: Message,
     },
-    /// Asks the leader to do something.
-    Ask {
-        /// Matches the answer.
+    /// A request to the leader.
+    Request {
+        /// Identifies the response.
         id: u64,
-        /// What to do.
-        ask: Ask,
+        /// The request.
+        body: LeaderRequest,
     },
-    /// An upstream told the sender that it has left.
+    /// An upstream has reported to the sender that it has left.
     UpstreamLeft {
         /// Its identity.
         id: String,
-        /// Start of the run that left, where it said so.
+        /// Start time of the run that left, if reported, in Unix milliseconds.
         born_ms: Option<u64>,
     },
-    /// Answers `Ask`.
-    Answer {
-        /// Matches the question.
+    /// The response to a `Request`.
+    Response {
+        /// Number of the request.
         id: u64,
-        /// The answer.
-        answer: Answer,
+        /// The response.
+        response: LeaderResponse,
     },
 }
 
-/// Who a member is, for founding a group and for admitting a newcomer.
+/// Identity and state of a member, for the bootstrap of a group and the admission of new members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberHello {
     /// The member: its host and its disk.
     pub member: MemberId,
-    /// The control hosts of its settings, in order.
+    /// The control hosts listed in its settings, sorted.
     pub listed: Vec<HostName>,
-    /// Whether it holds no entry and knows of no group.
+    /// Whether its log is empty and it belongs to no group.
     pub empty: bool,
-    /// Where and how it found the others, if it had to.
+    /// State of its discovery, if it uses discovery.
     pub seeded: Option<SeededHello>,
 }
 
-/// What only the leader can do.
+/// A request that only the leader can execute.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum LeaderRequest {
     /// Propose an operation, encoded by [`crate::core::encode_op`].
     Propose(Vec<u8>),
-    /// Name an index that a read must have applied to be linearizable.
+    /// Get the index that must be applied before a linearizable read.
     Read,
-    /// Admit the member that now runs on `host`, and remove the one that it replaces.
+    /// Add the member currently running on `host`, and remove the one that it replaces.
     Admit {
-        /// The host of the newcomer.
+        /// The host of the new member.
         host: HostName,
-        /// The host of the voter to remove once the newcomer counts; may be the same host, whose
-        /// disk was lost.
+        /// The host of the voter to remove once the new member is a voter; may be the same host after
+        /// the loss of its disk.
         replaces: Option<HostName>,
     },
     /// Remove the member on `host`.
@@ -82,24 +82,24 @@
     },
 }
 
-/// What became of an [`Ask`].
+/// The outcome of a [`LeaderRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
-    /// Nothing was done, and nothing will be: this member does not lead. It may be asked again.
+pub enum LeaderResponse {
+    /// This member is not the leader. The request has no effect and may be retried.
     NotLeader,
     /// The reply of the state machine, encoded by [`crate::core::encode_reply`].
     Proposed(Result<Vec<u8>, ProposeError>),
-    /// The index to wait for.
+    /// The index that must be applied before the read.
     Read(u64),
-    /// The change of members is committed, or was refused.
+    /// The membership change was committed or refused.
     Members(Result<(), MembersError>),
 }
 
-/// Between control hosts as relays: what changed since the packet before on this connection.
+/// Update between relays: the changes since the previous packet on the connection.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RelayPacket {
-    /// Hosts that the sender hears.
+    /// Changes of the hosts attached to the sender.
     pub hosts: Option<SummaryDelta>,
-    /// Sums of service.
+    /// Changes of service sums.
     pub sums: Vec<SumsDelta>,
 }
--- a/src/coltsfootnotch/daemon/control/permit.rs
+++ b/src/coltsfootnotch/daemon/control/permissions.rs
@@ -1,19 +1,19 @@
-//! Which role may propose what.
+//! Operations that each role may propose.
 
 use coltsfootnotch_state::Op;
 use coltsfootnotch_types::Role;
 
 /// Whether a process with this role may propose `op`.
 ///
-/// Without this check a stolen entry key could put a configuration in force, and an operator's key
-/// could write bookings that no caller made.
-pub(super) fn permits(role: Role, op: &Op) -> bool {
+/// Limits the damage of a stolen key: an entry's key can't change the configuration, and an operator's key
+/// can't write bookings.
+pub(super) fn is_permitted(role: Role, op: &Op) -> bool {
     match op {
         Op::ApplyConfig(_) | Op::SetLimits(_) => role == Role::Operator,
         Op::Ledger(_) | Op::Batch(_) => role == Role::Entry,
-        // Orders go to an engine from the sidecar beside it.
+        // Orders are sent to an engine by the sidecar on its host.
         Op::Grant(_) | Op::Renew(_) | Op::Release(_) | Op::OrderDone(_) => role == Role::Sidecar,
-        // The leader proposes it by its own clock.
+        // Only proposed by the leader itself.
         Op::Expire => false,
     }
 }
--- a/src/coltsfootnotch/daemon/control/relay.rs
+++ b/src/coltsfootnotch/daemon/control/relay.rs
@@ -1,7 +1,7 @@
-//! The relay of a failure domain: which hosts there are and how much service accounts had.
+//! The relay of a failure domain: the directory of hosts and the service sums of accounts.
 //!
-//! All of it is soft state that needs no quorum, so hosts keep finding each other, and accounts are
-//! served fairly, while the control group has no leader.
+//! All of it is soft state that needs no quorum, so discovery of hosts and fair service continue while
+//! the control group has no leader.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 use super::host_feed::{member_heartbeat, profile};
 use super::packet::RelayPacket;
 
-/// Time after which the directory drops what is long gone.
-const PURGE_EVERY: Duration = Duration::from_secs(10);
+/// Interval of purging expired hosts from the directory.
+const PURGE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The relay of a failure domain.
 pub(super) struct Relay {
@@ -24,38 +24,38 @@
     pub(super) directory: Directory,
     pub(super) sums: RelaySums,
     me: RelayId,
-    own_beats: u64,
+    local_heartbeats: u64,
     merged: u64,
     purge_due: Duration,
 }
 
 impl Relay {
-    /// A relay that starts at `now` and has heard no host yet.
+    /// Creates a relay that starts at `now` without hosts.
     pub(super) fn new(me: RelayId, timing: Timing, now: Duration) -> Self {
         Self {
             registry: Registry::new(me.clone(), timing, now),
             directory: Directory::new(me.clone(), &timing, now),
             sums: RelaySums::new(me.clone()),
             me,
-            own_beats: 0,
+            local_heartbeats: 0,
             merged: 0,
-            purge_due: now + PURGE_EVERY,
+            purge_due: now + PURGE_INTERVAL,
         }
     }
 
-    /// Takes a heartbeat of a host; `false` when a later run of it has registered.
+    /// Records a host's heartbeat; returns `false` if a later incarnation has registered.
     pub(super) fn heartbeat(&mut self, now: Duration, heartbeat: &MemberHeartbeat) -> bool {
         let reply = self.registry.heartbeat(now, heartbeat);
         let replaced = coltsfootnotch_membership::HeartbeatReply::Replaced;
         reply != replaced
     }
 
-    /// This control host counts as a host as well: the others find it through the directory.
-    pub(super) fn beat_self(&mut self, now: Duration, record: HostRecord) {
-        self.own_beats += 1;
+    /// Records a heartbeat of this control host, which is listed in the directory as well.
+    pub(super) fn record_local_heartbeat(&mut self, now: Duration, record: HostRecord) {
+        self.local_heartbeats += 1;
         let heartbeat = Heartbeat {
-            seq: self.own_beats,
-            // A control host is its own relay and never turns to another.
+            seq: self.local_heartbeats,
+            // A control host is its own relay and never changes it.
             started: 0,
             attach: 1,
             record,
@@ -65,8 +65,13 @@
         self.heartbeat(now, &member_heartbeat(&heartbeat, 1, &profile));
     }
 
-    /// Takes the service that a host reports.
-    pub(super) fn serve(&mut self, host: &HostName, run: Incarnation, batch: &ServiceBatch) -> u64 {
+    /// Records the service that a host reports; returns the batch number to acknowledge.
+    pub(super) fn record_service(
+        &mut self,
+        host: &HostName,
+        run: Incarnation,
+        batch: &ServiceBatch,
+    ) -> u64 {
         self.sums.take(&MemberBatch {
             host: host.clone(),
             incarnation: run,
@@ -75,8 +80,8 @@
         })
     }
 
-    /// Takes what another relay says. The certificate of the connection names `peer`; what it says
-    /// of hosts must be its own, or one stolen key could empty every failure domain.
+    /// Merges an update of another relay; returns `false` if it is refused. A relay may only report its own
+    /// hosts, so that a stolen key can't remove the hosts of other failure domains.
     pub(super) fn merge(&mut self, now: Duration, peer: &HostName, packet: &RelayPacket) -> bool {
         let is_own = |relay: &RelayId| relay.host == *peer || relay.host == self.me.host;
         let hosts_are_own = packet.hosts.as_ref().is_none_or(|d| d.relay.host == *peer);
@@ -92,14 +97,14 @@
         true
     }
 
-    /// Looks for silence and brings the directory up to date; returns what happened to hosts.
+    /// Checks hosts for timeouts and updates the directory; returns the membership events.
     pub(super) fn tick(&mut self, now: Duration) -> Vec<MemberEvent> {
         self.registry.tick(now);
         let delta = self.registry.delta_since(self.merged);
         self.merged = delta.to;
         self.directory.merge(now, &delta);
         if now >= self.purge_due {
-            self.purge_due = now + PURGE_EVERY;
+            self.purge_due = now + PURGE_INTERVAL;
             self.directory.purge(now);
         }
         let events = self.registry.take_events();
--- a/src/coltsfootnotch/daemon/control/relay_feed.rs
+++ b/src/coltsfootnotch/daemon/control/relay_feed.rs
@@ -1,4 +1,4 @@
-//! What this relay has told another over one connection.
+//! Updates sent to another relay on one connection.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 
 use super::packet::RelayPacket;
 
-/// Time after which an empty packet says that this relay is still there.
-const ALIVE_EVERY: Duration = Duration::from_secs(5);
+/// Idle time after which an empty packet is sent as a keepalive.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What this relay has told another over one connection.
+/// Tracks the updates sent to another relay on one connection.
 ///
-/// Connections deliver in order and whole, so the versions sent are the versions known; a new
-/// connection starts with everything.
+/// Delivery is reliable and ordered, so the peer has every version sent. A new connection starts with
+/// the full state.
 #[derive(Debug, Default)]
 pub(super) struct RelayFeed {
     started: bool,
@@ -23,7 +23,7 @@
 }
 
 impl RelayFeed {
-    /// What to send now to the relay on `peer`, if anything changed.
+    /// The next update for the relay on `peer`, if anything changed or a keepalive is due.
     pub(super) fn next(
         &mut self,
         now: Duration,
@@ -32,9 +32,10 @@
         sums: &RelaySums,
     ) -> Option<RelayPacket> {
         let is_first = !self.started;
-        let alive_due = now >= self.sent + ALIVE_EVERY;
-        let changed = registry.summary().version() > self.hosts;
-        let delta = (is_first || alive_due || changed).then(|| registry.delta_since(self.hosts));
+        let is_keepalive_due = now >= self.sent + KEEPALIVE_INTERVAL;
+        let is_changed = registry.summary().version() > self.hosts;
+        let delta =
+            (is_first || is_keepalive_due || is_changed).then(|| registry.delta_since(self.hosts));
         let mut packet = RelayPacket {
             hosts: delta,
             sums: sums.delta_since(self.sums).into_iter().collect(),
--- a/src/coltsfootnotch/daemon/control/replica/apply.rs
+++ b/src/coltsfootnotch/daemon/control/replica/apply.rs
@@ -1,4 +1,4 @@
-//! What the log core wants done: applying what is committed, and answering for it.
+//! Handles the actions of the consensus core: applies committed entries and completes their requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,44 +11,51 @@
 use crate::core::encode_reply;
 use crate::daemon::control::ControlError;
 use crate::daemon::control::batcher::{Batcher, split};
-use crate::daemon::control::packet::Answer;
+use crate::daemon::control::packet::LeaderResponse;
 use crate::daemon::control::request_table::RequestId;
 
 impl Replica {
-    pub(super) fn act(&mut self, now: Duration, action: Action) -> Result<(), ControlError> {
+    pub(super) fn handle_action(
+        &mut self,
+        now: Duration,
+        action: Action,
+    ) -> Result<(), ControlError> {
         match action {
             Action::Send { to, msg } => self.effects.push(Effect::Send(to, msg)),
             Action::Persist(persist) => self.effects.push(Effect::Persist(persist)),
             Action::Apply { index, term, data } => self.apply(index, term, data)?,
-            Action::ReadReady { id, index } => self.read_done(id, Answer::Read(index.0)),
-            Action::ReadFailed { id, .. } => self.read_done(id, Answer::NotLeader),
+            Action::ReadReady { id, index } => self.emit_read(id, LeaderResponse::Read(index.0)),
+            Action::ReadFailed { id, .. } => self.emit_read(id, LeaderResponse::NotLeader),
             Action::TakeSnapshot { index } => {
-                assert_eq!(index, self.applied, "a snapshot is of what was applied");
+                assert_eq!(
+                    index, self.applied,
+                    "a snapshot is taken at the applied index"
+                );
                 let data = self.machine.snapshot();
                 self.core.snapshot_taken(now, index, data);
             }
             Action::InstallSnapshot(snapshot) => self.install(&snapshot)?,
-            Action::Became { role, term, leader } => self.became(role, term, leader),
-            Action::Members { members } => self.effects.push(Effect::Members(members)),
+            Action::Became { role, term, leader } => self.on_role_change(role, term, leader),
+            Action::Members { members } => self.effects.push(Effect::MembersChanged(members)),
         }
         Ok(())
     }
 
-    fn read_done(&mut self, id: ReadId, answer: Answer) {
+    fn emit_read(&mut self, id: ReadId, response: LeaderResponse) {
         if let Some(request) = self.reads.remove(&id) {
-            self.done(request, answer);
+            self.emit(request, response);
         }
     }
 
-    fn became(&mut self, role: RoleKind, term: Term, leader: Option<MemberId>) {
+    fn on_role_change(&mut self, role: RoleKind, term: Term, leader: Option<MemberId>) {
         self.clock = None;
         if role != RoleKind::Leader {
             let abandoned = self.batcher.as_mut().map(Batcher::abandon);
             for request in abandoned.into_iter().flatten() {
-                self.done(request, Answer::NotLeader);
+                self.emit(request, LeaderResponse::NotLeader);
             }
         }
-        self.effects.push(Effect::Became(role, term, leader));
+        self.effects.push(Effect::RoleChanged(role, term, leader));
     }
 
     fn apply(
@@ -57,42 +64,45 @@
         term: Term,
         data: Option<Arc<[u8]>>,
     ) -> Result<(), ControlError> {
-        assert!(index > self.applied, "entries are applied in order, once");
+        assert!(
+            index > self.applied,
+            "entries are applied in order and once"
+        );
         self.applied = index;
         let reply = match data {
             Some(data) => {
                 let command = Command::decode(&data)
                     .map_err(|source| ControlError::Command { index, source })?;
-                self.replayed += 1;
+                self.commands_applied += 1;
                 Some(self.machine.apply(index.0, &command))
             }
             None => None,
         };
         match self.pending.remove(&index) {
-            Some((proposed, waiter)) if proposed == term => self.answer(waiter, reply),
-            Some((_, replaced)) => self.refuse(replaced, &Answer::NotLeader),
+            Some((proposed, waiter)) if proposed == term => self.respond(waiter, reply),
+            Some((_, replaced)) => self.refuse(replaced, &LeaderResponse::NotLeader),
             None => {}
         }
         Ok(())
     }
 
-    fn answer(&mut self, waiter: Waiter, reply: Option<Reply>) {
+    fn respond(&mut self, waiter: Waiter, reply: Option<Reply>) {
         match (waiter, reply) {
             (Waiter::One(request), Some(reply)) => self.reply(request, &reply),
             (Waiter::Batch(shares), Some(Reply::Batch(replies))) => {
-                self.batcher.iter_mut().for_each(Batcher::landed);
+                self.batcher.iter_mut().for_each(Batcher::finish_batch);
                 for (request, reply) in split(shares, replies) {
                     self.reply(request, &reply);
                 }
             }
-            (Waiter::Members(request), None) => self.done(request, Answer::Members(Ok(()))),
-            (Waiter::Nobody, _) => {}
-            _ => panic!("an entry is applied as what it was proposed as"),
+            (Waiter::Members(request), None) => self.emit(request, LeaderResponse::Members(Ok(()))),
+            (Waiter::Internal, _) => {}
+            _ => panic!("the reply of an applied entry does not fit its proposal"),
         }
     }
 
     fn reply(&mut self, request: RequestId, reply: &Reply) {
-        self.done(request, Answer::Proposed(Ok(encode_reply(reply))));
+        self.emit(request, LeaderResponse::Proposed(Ok(encode_reply(reply))));
     }
 
     fn install(&mut self, snapshot: &Snapshot) -> Result<(), ControlError> {
@@ -105,14 +115,14 @@
         );
         self.machine = machine;
         self.applied = snapshot.meta.index;
-        // Whether these are in the snapshot can't be told from it.
+        // A snapshot doesn't show whether these were committed.
         let later = self.pending.split_off(&self.applied.next());
         for (_, waiter) in std::mem::replace(&mut self.pending, later).into_values() {
-            let answer = match waiter {
-                Waiter::Members(_) => Answer::Members(Err(MembersError::Unknown)),
-                _ => Answer::Proposed(Err(ProposeError::Unknown)),
+            let response = match waiter {
+                Waiter::Members(_) => LeaderResponse::Members(Err(MembersError::Unknown)),
+                _ => LeaderResponse::Proposed(Err(ProposeError::Unknown)),
             };
-            self.refuse(waiter, &answer);
+            self.refuse(waiter, &response);
         }
         Ok(())
     }
--- a/src/coltsfootnotch/daemon/control/replica/mod.rs
+++ b/src/coltsfootnotch/daemon/control/replica/mod.rs
@@ -1,8 +1,9 @@
-//! One member's log core and state machine: requests, messages and time in, effects out.
+//! One member's consensus core and state machine. Its inputs are requests, messages and time; its
+//! outputs are [`Effect`]s.
 //!
-//! A request to the leader becomes a stamped [`Command`] of the log. When the command is applied the
-//! reply goes to the request by the index and term under which it was proposed; another term at that
-//! index means that it was replaced and never takes effect.
+//! A request to the leader becomes a timestamped [`Command`] in the log. The reply is matched to the
+//! request by the index and term of the proposal; a different term at that index means that the entry
+//! was replaced and never takes effect.
 
 mod apply;
 
@@ -18,45 +19,45 @@
 
 use crate::daemon::control::ControlError;
 use crate::daemon::control::batcher::{Batcher, Share};
-use crate::daemon::control::packet::Answer;
+use crate::daemon::control::packet::LeaderResponse;
 use crate::daemon::control::request_table::RequestId;
 
-/// What the replica wants done.
+/// An output of the replica.
 pub(super) enum Effect {
     /// Send a message to a member.
     Send(MemberId, Message),
-    /// Write and sync.
+    /// Write and sync to the data folder.
     Persist(Persist),
-    /// A request has its answer.
-    Done(RequestId, Answer),
-    /// Role, term or known leader changed.
-    Became(RoleKind, Term, Option<MemberId>),
+    /// A request is completed with this response.
+    Completed(RequestId, LeaderResponse),
+    /// The role, term or known leader changed.
+    RoleChanged(RoleKind, Term, Option<MemberId>),
     /// The members changed.
-    Members(Membership),
+    MembersChanged(Membership),
 }
 
-/// Whose reply an entry of the log carries.
+/// Receiver of the reply to a log entry.
 enum Waiter {
     One(RequestId),
     Batch(Vec<Share>),
     Members(RequestId),
-    /// Proposed by the leader for itself.
-    Nobody,
+    /// Proposed by the leader itself; the reply is dropped.
+    Internal,
 }
 
-/// One member's log core and state machine.
+/// One member's consensus core and state machine.
 pub(super) struct Replica {
     core: Core,
     machine: StateMachine,
     clock: Option<LeaderClock>,
-    /// Absent when the ledger's writes are not grouped.
+    /// Absent if ledger writes are not batched.
     batcher: Option<Batcher>,
     pending: BTreeMap<LogIndex, (Term, Waiter)>,
     reads: BTreeMap<ReadId, RequestId>,
     effects: Vec<Effect>,
     applied: LogIndex,
     /// Commands applied since the process started.
-    replayed: u64,
+    commands_applied: u64,
 }
 
 impl Replica {
@@ -70,7 +71,7 @@
             reads: BTreeMap::new(),
             effects: Vec::new(),
             applied: LogIndex(0),
-            replayed: 0,
+            commands_applied: 0,
         }
     }
 
@@ -82,65 +83,65 @@
         &mut self.core
     }
 
-    /// The replicated state, as far as this member has applied it.
+    /// The state machine with all entries applied by this member.
     pub(super) fn machine(&self) -> &StateMachine {
         &self.machine
     }
 
-    /// The last entry of the log that is applied here.
+    /// Index of the last applied log entry.
     pub(super) fn applied(&self) -> u64 {
         self.applied.0
     }
 
     /// Commands applied since the process started.
-    pub(super) fn replayed(&self) -> u64 {
-        self.replayed
+    pub(super) fn commands_applied(&self) -> u64 {
+        self.commands_applied
     }
 
-    /// Proposes for a request; its answer comes as an effect.
+    /// Proposes an operation; the response is returned as an effect.
     pub(super) fn propose(&mut self, now: Duration, request: RequestId, op: Op) {
         if !self.core.is_leader() {
-            return self.done(request, Answer::NotLeader);
+            return self.emit(request, LeaderResponse::NotLeader);
         }
         match (&mut self.batcher, op) {
             (Some(batcher), Op::Ledger(op)) => batcher.push_one(request, op),
             (Some(batcher), Op::Batch(ops)) => batcher.push_many(request, ops),
             (_, op) => return self.append(now, op, Waiter::One(request)),
         }
-        self.send_batch(now);
+        self.propose_batch(now);
     }
 
-    /// Proposes on the leader's own account, if this member leads.
-    pub(super) fn propose_own(&mut self, now: Duration, op: Op) {
+    /// Proposes an operation without a request, if this member leads.
+    pub(super) fn propose_internal(&mut self, now: Duration, op: Op) {
         if self.core.is_leader() {
-            self.append(now, op, Waiter::Nobody);
+            self.append(now, op, Waiter::Internal);
         }
     }
 
-    /// Asks for an index that makes a read linearizable; the answer comes as an effect.
+    /// Requests the index for a linearizable read; the response is returned as an effect.
     pub(super) fn read(&mut self, now: Duration, request: RequestId) {
         match self.core.read(now) {
             Ok(id) => {
                 self.reads.insert(id, request);
             }
-            Err(_) => self.done(request, Answer::NotLeader),
+            Err(_) => self.emit(request, LeaderResponse::NotLeader),
         }
     }
 
-    /// Changes the members; the answer comes as an effect.
+    /// Changes the members; the response is returned as an effect.
     pub(super) fn change(&mut self, now: Duration, request: RequestId, change: &MemberChange) {
         match self.core.change_members(now, change) {
-            Ok(proposal) => self.wait_for(proposal, Waiter::Members(request)),
+            Ok(proposal) => self.track(proposal, Waiter::Members(request)),
             Err(ChangeRefused::IsLeader) => {
                 // The next leader removes this member; without a successor the request times out.
                 let _ = self.core.transfer(now, None);
-                self.done(request, Answer::NotLeader);
+                self.emit(request, LeaderResponse::NotLeader);
             }
-            Err(refused) => self.done(request, change_refused(refused)),
+            Err(refused) => self.emit(request, change_refused(refused)),
         }
     }
 
-    fn send_batch(&mut self, now: Duration) {
+    fn propose_batch(&mut self, now: Duration) {
         let batch = self.batcher.as_mut().and_then(Batcher::next_batch);
         if let Some((shares, op)) = batch {
             self.append(now, op, Waiter::Batch(shares));
@@ -154,40 +155,40 @@
         let at = clock.stamp(now);
         let command = Command { at, op }.encode();
         match self.core.propose(now, command) {
-            Ok(proposal) => self.wait_for(proposal, waiter),
-            Err(refused) => self.refuse(waiter, &answer_of(&refused)),
+            Ok(proposal) => self.track(proposal, waiter),
+            Err(refused) => self.refuse(waiter, &response_to_refusal(&refused)),
         }
     }
 
-    fn wait_for(&mut self, proposal: Proposal, waiter: Waiter) {
+    fn track(&mut self, proposal: Proposal, waiter: Waiter) {
         let earlier = self.pending.insert(proposal.index, (proposal.term, waiter));
         if let Some((_, replaced)) = earlier {
-            // This log holds another entry there now, so the earlier one can't commit any more.
-            self.refuse(replaced, &Answer::NotLeader);
+            // Another entry has this index now, so the earlier proposal can't be committed.
+            self.refuse(replaced, &LeaderResponse::NotLeader);
         }
     }
 
-    fn refuse(&mut self, waiter: Waiter, answer: &Answer) {
+    fn refuse(&mut self, waiter: Waiter, response: &LeaderResponse) {
         match waiter {
-            Waiter::One(request) | Waiter::Members(request) => self.done(request, answer.clone()),
+            Waiter::One(request) | Waiter::Members(request) => self.emit(request, response.clone()),
             Waiter::Batch(shares) => {
-                self.batcher.iter_mut().for_each(Batcher::landed);
+                self.batcher.iter_mut().for_each(Batcher::finish_batch);
                 for share in shares {
-                    self.done(share.request, answer.clone());
+                    self.emit(share.request, response.clone());
                 }
             }
-            Waiter::Nobody => {}
+            Waiter::Internal => {}
         }
     }
 
-    fn done(&mut self, request: RequestId, answer: Answer) {
-        self.effects.push(Effect::Done(request, answer));
+    fn emit(&mut self, request: RequestId, response: LeaderResponse) {
+        self.effects.push(Effect::Completed(request, response));
     }
 
-    /// Does what is due by time and everything that follows from earlier calls.
+    /// Handles all pending actions of the consensus core; returns the effects.
     ///
     /// # Errors
-    /// Returns an error when the state can't be applied; the daemon must stop then.
+    /// Returns an error when an entry or snapshot can't be applied; the daemon must then stop.
     pub(super) fn drive(&mut self, now: Duration) -> Result<Vec<Effect>, ControlError> {
         loop {
             let actions = self.core.take_actions();
@@ -195,40 +196,42 @@
                 return Ok(std::mem::take(&mut self.effects));
             }
             for action in actions {
-                self.act(now, action)?;
+                self.handle_action(now, action)?;
             }
-            self.send_batch_if_leading(now);
+            self.propose_batch_if_leading(now);
         }
     }
 
-    fn send_batch_if_leading(&mut self, now: Duration) {
+    fn propose_batch_if_leading(&mut self, now: Duration) {
         if self.core.is_leader() {
-            self.send_batch(now);
+            self.propose_batch(now);
         }
     }
 }
 
-fn answer_of(refused: &ProposeRefused) -> Answer {
+fn response_to_refusal(refused: &ProposeRefused) -> LeaderResponse {
     match refused {
-        ProposeRefused::NotLeader { .. } => Answer::NotLeader,
-        ProposeRefused::Busy { .. } => Answer::Proposed(Err(ProposeError::NoQuorum)),
-        ProposeRefused::TooLong { .. } => Answer::Proposed(Err(ProposeError::BadCommand)),
+        ProposeRefused::NotLeader { .. } => LeaderResponse::NotLeader,
+        ProposeRefused::Busy { .. } => LeaderResponse::Proposed(Err(ProposeError::NoQuorum)),
+        ProposeRefused::TooLong { .. } => LeaderResponse::Proposed(Err(ProposeError::BadCommand)),
     }
 }
 
-fn change_refused(refused: ChangeRefused) -> Answer {
+fn change_refused(refused: ChangeRefused) -> LeaderResponse {
     let error = match refused {
-        ChangeRefused::NotLeader { .. } | ChangeRefused::IsLeader => return Answer::NotLeader,
+        ChangeRefused::NotLeader { .. } | ChangeRefused::IsLeader => {
+            return LeaderResponse::NotLeader;
+        }
         ChangeRefused::Unfinished => MembersError::Unfinished,
         ChangeRefused::AlreadyMember { member } => {
             MembersError::AlreadyMember { host: member.host }
         }
-        // An operator admits and removes; only the leader itself promotes.
+        // Operators only add and remove members; only the leader promotes.
         ChangeRefused::NotCaughtUp { .. } | ChangeRefused::NotLearner { .. } => {
             MembersError::Unfinished
         }
         ChangeRefused::NotMember { member } => MembersError::NotMember { host: member.host },
         ChangeRefused::LastVoter => MembersError::LastVoter,
     };
-    Answer::Members(Err(error))
+    LeaderResponse::Members(Err(error))
 }
--- a/src/coltsfootnotch/daemon/control/request_table.rs
+++ b/src/coltsfootnotch/daemon/control/request_table.rs
@@ -1,8 +1,7 @@
-//! Requests that wait for the control group, and what they are told when it gives no answer.
+//! Pending requests to the control group, and their responses when it doesn't answer.
 //!
-//! Load pattern answered: the leader is lost, and everything that hosts propose meanwhile would be
-//! refused though a new leader is there within a second. Requests wait that long, bounded in number,
-//! and are then refused as not proposed, so that a caller hears `"run":"no"` soon.
+//! While a new leader is elected, requests wait for a short time, bounded in number, instead of being
+//! refused. After that they are refused as not proposed, so that a caller gets `"run":"no"` soon.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,100 +9,105 @@
 use coltsfootnotch_fabric::LinkId;
 use coltsfootnotch_wire::{MembersError, ProposeError};
 
-use super::packet::{Answer, Ask};
+use super::packet::{LeaderRequest, LeaderResponse};
 
-/// How long a request waits for a leader: elections end within a second, and a caller that can't be
-/// served must hear of it while it can still turn elsewhere.
+/// How long a request waits for a leader. An election takes up to a second; a caller that can't be served
+/// needs its refusal in time to try another host.
 const WAIT_FOR_LEADER: Duration = Duration::from_millis(1_500);
-/// How long a request may be under way at the leader before it counts as unknown.
+/// How long the leader may take before the outcome of a request counts as unknown.
 const WAIT_FOR_COMMIT: Duration = Duration::from_secs(3);
-/// Requests open at once; a burst beyond that is refused at once and bounded in memory.
+/// Most open requests; further ones are refused at once, which bounds memory.
 const MAX_OPEN: usize = 16_384;
 
-/// Number of a request within this run of the daemon.
+/// Number of a request, unique within a run of the daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Who asked.
+/// Origin of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// A host or an operator proposed.
+    /// A proposal of a host or an operator.
     Propose(LinkId, u64),
-    /// A host or an operator asked for the newest configuration.
+    /// A query of a host or an operator for the newest configuration.
     Confirm(LinkId, u64),
-    /// An operator changes the members.
+    /// A membership change by an operator.
     Members(LinkId, u64),
-    /// Another member, which knows this one as the leader.
+    /// A request forwarded by another member, which takes this one for the leader.
     Member(LinkId, u64),
-    /// An operator called over HTTP.
+    /// An HTTP call of an operator.
     Call(u64),
-    /// Forwarding entries ask whether their configuration is the newest.
+    /// Queries of forwarding entries whether their configuration is the newest.
     Leases,
 }
 
-/// Where a request is.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
-    /// Waits for a leader to be known.
+pub enum RequestState {
+    /// Waits for a known leader.
     Waiting,
-    /// With this member, which leads.
-    Here,
-    /// Sent to the leader over this connection.
-    Sent(LinkId),
-    /// Waits until this member has applied the index.
+    /// In progress at this member, which leads.
+    Local,
+    /// Forwarded to the leader over this connection.
+    Forwarded(LinkId),
+    /// Waits until this member has applied this index.
     Applying(u64),
 }
 
-/// One request.
+/// A pending request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Who asked.
+    /// Its origin.
     pub origin: Origin,
-    /// What for.
-    pub ask: Ask,
-    place: Place,
+    /// The request to the leader.
+    pub body: LeaderRequest,
+    state: RequestState,
     opened: Duration,
     deadline: Duration,
 }
 
-/// The requests that are open.
+/// The open requests.
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch::daemon::control::packet::Ask;
+/// use coltsfootnotch::daemon::control::packet::LeaderRequest;
 /// use coltsfootnotch::daemon::control::request_table::{Origin, RequestTable};
 /// use coltsfootnotch_fabric::LinkId;
 /// let mut table = RequestTable::default();
-/// table.open(Duration::ZERO, Origin::Confirm(LinkId(1), 7), Ask::Read).unwrap();
+/// table.open(Duration::ZERO, Origin::Confirm(LinkId(1), 7), LeaderRequest::Read).unwrap();
 /// assert_eq!(table.expire(Duration::from_secs(1)), []);
-/// assert_eq!(table.expire(Duration::from_secs(2)).len(), 1, "no leader was found in time");
+/// assert_eq!(table.expire(Duration::from_secs(2)).len(), 1, "no leader was known in time");
 /// ```
 #[derive(Debug, Default)]
 pub struct RequestTable {
     last: u64,
     open: BTreeMap<RequestId, Request>,
-    /// Those that wait for a leader. It and `applying` are looked at with every input, when thousands
-    /// may be open.
+    /// Requests that wait for a leader. This and `applying` are indexes into `open`, which may have
+    /// thousands of entries and is not scanned on every input.
     waiting: BTreeSet<RequestId>,
-    /// Those that wait until an index is applied, lowest first.
+    /// Requests that wait until an index is applied, lowest first.
     applying: BTreeSet<(u64, RequestId)>,
 }
 
 impl RequestTable {
-    /// Opens a request, which waits for a leader at first.
+    /// Opens a request, which first waits for a leader.
     ///
     /// # Errors
-    /// Returns the answer to give at once when too many are open.
-    pub fn open(&mut self, now: Duration, origin: Origin, ask: Ask) -> Result<RequestId, Answer> {
+    /// Returns the response to send at once when too many requests are open.
+    pub fn open(
+        &mut self,
+        now: Duration,
+        origin: Origin,
+        body: LeaderRequest,
+    ) -> Result<RequestId, LeaderResponse> {
         if self.open.len() >= MAX_OPEN {
-            return Err(refusal(&ask, Place::Waiting));
+            return Err(failure_response(&body, RequestState::Waiting));
         }
         self.last += 1;
         let id = RequestId(self.last);
         let request = Request {
             origin,
-            ask,
-            place: Place::Waiting,
+            body,
+            state: RequestState::Waiting,
             opened: now,
             deadline: now + WAIT_FOR_LEADER,
         };
@@ -112,50 +116,52 @@
         Ok(id)
     }
 
-    /// The request, while it is open.
+    /// The request, if it is open.
     #[must_use]
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.open.get(&id)
     }
 
-    /// Moves a request. One that goes back to waiting does not get more time for it.
-    pub fn put(&mut self, now: Duration, id: RequestId, place: Place) {
+    /// Changes the state of a request. Returning to `Waiting` doesn't extend its deadline.
+    pub fn set_state(&mut self, now: Duration, id: RequestId, state: RequestState) {
         let Some(request) = self.open.get_mut(&id) else {
             return;
         };
-        let left = std::mem::replace(&mut request.place, place);
-        request.deadline = match place {
-            Place::Waiting => request.opened + WAIT_FOR_LEADER,
-            Place::Here | Place::Sent(_) | Place::Applying(_) => now + WAIT_FOR_COMMIT,
+        let previous = std::mem::replace(&mut request.state, state);
+        request.deadline = match state {
+            RequestState::Waiting => request.opened + WAIT_FOR_LEADER,
+            RequestState::Local | RequestState::Forwarded(_) | RequestState::Applying(_) => {
+                now + WAIT_FOR_COMMIT
+            }
         };
-        self.leave(id, left);
-        match place {
-            Place::Waiting => {
+        self.unindex(id, previous);
+        match state {
+            RequestState::Waiting => {
                 self.waiting.insert(id);
             }
-            Place::Applying(index) => {
+            RequestState::Applying(index) => {
                 self.applying.insert((index, id));
             }
-            Place::Here | Place::Sent(_) => {}
+            RequestState::Local | RequestState::Forwarded(_) => {}
         }
     }
 
-    fn leave(&mut self, id: RequestId, place: Place) {
-        match place {
-            Place::Waiting => {
+    fn unindex(&mut self, id: RequestId, state: RequestState) {
+        match state {
+            RequestState::Waiting => {
                 self.waiting.remove(&id);
             }
-            Place::Applying(index) => {
+            RequestState::Applying(index) => {
                 self.applying.remove(&(index, id));
             }
-            Place::Here | Place::Sent(_) => {}
+            RequestState::Local | RequestState::Forwarded(_) => {}
         }
     }
 
-    /// Ends a request.
+    /// Removes a request.
     pub fn close(&mut self, id: RequestId) -> Option<Request> {
         let request = self.open.remove(&id)?;
-        self.leave(id, request.place);
+        self.unindex(id, request.state);
         Some(request)
     }
 
@@ -165,64 +171,72 @@
         self.waiting.iter().copied().collect()
     }
 
-    /// Whether a request was sent over a connection and not answered yet.
+    /// Whether a request was forwarded over this connection and has no response yet.
     #[must_use]
-    pub fn is_sent_over(&self, link: LinkId, id: RequestId) -> bool {
-        self.get(id).is_some_and(|r| r.place == Place::Sent(link))
+    pub fn is_forwarded_over(&self, link: LinkId, id: RequestId) -> bool {
+        self.get(id)
+            .is_some_and(|r| r.state == RequestState::Forwarded(link))
     }
 
-    /// Requests sent over a connection, whose answers can't come any more once it is gone.
+    /// Requests forwarded over a connection, which get no response after it closes.
     #[must_use]
-    pub fn sent_over(&self, link: LinkId) -> Vec<RequestId> {
+    pub fn forwarded_over(&self, link: LinkId) -> Vec<RequestId> {
         let sent = self
             .open
             .iter()
-            .filter(|(_, r)| r.place == Place::Sent(link));
+            .filter(|(_, r)| r.state == RequestState::Forwarded(link));
         sent.map(|(id, _)| *id).collect()
     }
 
-    /// Reads whose state has been applied.
+    /// Reads whose index has been applied.
     #[must_use]
     pub fn applied(&self, index: u64) -> Vec<RequestId> {
         let applied = self
             .applying
             .iter()
-            .take_while(|(wanted, _)| *wanted <= index);
+            .take_while(|(required, _)| *required <= index);
         applied.map(|(_, id)| *id).collect()
     }
 
-    /// Ends the requests whose time is over, each with its last answer.
-    pub fn expire(&mut self, now: Duration) -> Vec<(Request, Answer)> {
-        let late = self.open.iter().filter(|(_, r)| now >= r.deadline);
-        let late: Vec<_> = late.map(|(id, _)| *id).collect();
-        late.into_iter().filter_map(|id| self.lose(id)).collect()
+    /// Removes the requests whose deadline has passed, and returns them with their responses.
+    pub fn expire(&mut self, now: Duration) -> Vec<(Request, LeaderResponse)> {
+        let expired = self.open.iter().filter(|(_, r)| now >= r.deadline);
+        let expired: Vec<_> = expired.map(|(id, _)| *id).collect();
+        expired
+            .into_iter()
+            .filter_map(|id| self.abort(id))
+            .collect()
     }
 
-    /// Ends a request whose answer can't come any more.
-    pub fn lose(&mut self, id: RequestId) -> Option<(Request, Answer)> {
+    /// Removes a request that can't get a response from the leader any more.
+    pub fn abort(&mut self, id: RequestId) -> Option<(Request, LeaderResponse)> {
         let request = self.close(id)?;
-        let answer = refusal(&request.ask, request.place);
-        Some((request, answer))
+        let response = failure_response(&request.body, request.state);
+        Some((request, response))
     }
 
-    /// How many are open.
+    /// Number of open requests.
     #[must_use]
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 }
 
-/// What is certain about a request that gets no answer: one that waited was not proposed, one that
-/// was under way may still take effect.
-fn refusal(ask: &Ask, place: Place) -> Answer {
-    let is_under_way = matches!(place, Place::Here | Place::Sent(_));
-    match ask {
-        Ask::Propose(_) if is_under_way => Answer::Proposed(Err(ProposeError::Unknown)),
-        Ask::Propose(_) => Answer::Proposed(Err(ProposeError::NoQuorum)),
-        Ask::Read => Answer::NotLeader,
-        Ask::Admit { .. } | Ask::Remove { .. } if is_under_way => {
-            Answer::Members(Err(MembersError::Unknown))
+/// The response to a request that got none from the leader: a waiting request was not proposed, one in
+/// progress has an unknown outcome.
+fn failure_response(body: &LeaderRequest, state: RequestState) -> LeaderResponse {
+    let is_in_progress = matches!(state, RequestState::Local | RequestState::Forwarded(_));
+    match body {
+        LeaderRequest::Propose(_) if is_in_progress => {
+            LeaderResponse::Proposed(Err(ProposeError::Unknown))
+        }
+        LeaderRequest::Propose(_) => LeaderResponse::Proposed(Err(ProposeError::NoQuorum)),
+        LeaderRequest::Read => LeaderResponse::NotLeader,
+        LeaderRequest::Admit { .. } | LeaderRequest::Remove { .. } if is_in_progress => {
+            LeaderResponse::Members(Err(MembersError::Unknown))
+        }
+        LeaderRequest::Admit { .. } | LeaderRequest::Remove { .. } => {
+            LeaderResponse::Members(Err(MembersError::NoQuorum))
         }
-        Ask::Admit { .. } | Ask::Remove { .. } => Answer::Members(Err(MembersError::NoQuorum)),
     }
 }
--- a/src/coltsfootnotch/daemon/control/seeded/call.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/call.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and upstreams, which may come to any control host.
+//! Calls of operators and upstreams, which any control host accepts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,40 +10,40 @@
 /// A call of an operator or an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Put a configuration in force, which the caller has checked.
+    /// Puts a configuration in force, which the caller has validated.
     Apply {
         /// Its number.
         number: u64,
-        /// Its text.
+        /// Its body.
         body: Vec<u8>,
     },
-    /// The newest configuration, confirmed by a quorum.
+    /// Reads the newest configuration, confirmed by a quorum.
     Read,
-    /// An upstream lives.
+    /// An announcement of an upstream.
     Announce(Announcement),
     /// An upstream has left.
     Leave {
         /// Its identity.
         id: String,
-        /// Start of its run, where it says so.
+        /// Start time of its run, if reported, in Unix milliseconds.
         born_ms: Option<u64>,
     },
 }
 
-/// The answer to a [`Call`].
+/// The reply to a [`Call`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallReply {
-    /// Done, or was done before, or a higher number has overtaken it.
+    /// Done, done before, or superseded by a higher number.
     Done,
-    /// The newest configuration; none while there is none.
+    /// The newest configuration, if there is one.
     Config(Option<ConfigBody>),
-    /// Nothing was done: this host keeps no log. One that does has this fleet address.
+    /// Nothing was done, since this host has no log; the control host at this fleet address has one.
     Elsewhere(SocketAddr),
-    /// It is not known whether it is done; the same call may be made again, here or elsewhere.
+    /// The outcome is unknown; the call may be retried at any control host.
     Unknown,
 }
 
-/// Calls that wait for the control group.
+/// Calls that wait for a response of the control group.
 #[derive(Debug, Default)]
 pub(in crate::daemon::control) struct Calls {
     last: u64,
@@ -57,8 +57,8 @@
         self.last
     }
 
-    /// Answers a call; one whose caller has gone is forgotten.
-    pub(in crate::daemon::control) fn answer(&mut self, id: u64, reply: CallReply) {
+    /// Sends the reply to a call, unless the caller has disconnected.
+    pub(in crate::daemon::control) fn respond(&mut self, id: u64, reply: CallReply) {
         if let Some(tx) = self.waiting.remove(&id) {
             let _caller_waits = tx.send(reply);
         }
--- /dev/null
+++ b/src/coltsfootnotch/daemon/control/seeded/entries.rs
@@ -0,0 +1,121 @@
+//! Forwarding entries that are connected to this control host.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use coltsfootnotch_fabric::LinkId;
+use coltsfootnotch_forward::load::FleetLoad;
+use coltsfootnotch_types::HostName;
+use coltsfootnotch_wire::{FromRelay, LoadWord};
+
+/// A query whether a configuration is the newest.
+#[derive(Debug, Clone, Copy)]
+pub(in crate::daemon::control) struct LeaseQuery {
+    pub(in crate::daemon::control) link: LinkId,
+    pub(in crate::daemon::control) id: u64,
+    pub(in crate::daemon::control) have: u64,
+}
+
+/// A connected forwarding entry.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(in crate::daemon::control) struct ConnectedEntry {
+    pub(in crate::daemon::control) host: HostName,
+    /// The configuration that it last reported as in force; zero before its first query.
+    pub(in crate::daemon::control) config: u64,
+}
+
+/// The connected forwarding entries.
+///
+/// Every entry queries twice a second whether its configuration is the newest. One read of the log
+/// answers all queries received before it started, so the number of reads doesn't grow with the number
+/// of entries.
+#[derive(Default)]
+pub(in crate::daemon::control) struct ConnectedEntries {
+    links: BTreeMap<LinkId, ConnectedEntry>,
+    /// Entries that subscribe to the load of the others.
+    subscribers: BTreeSet<LinkId>,
+    pub(in crate::daemon::control) fleet: FleetLoad<LinkId>,
+    queued: Vec<LeaseQuery>,
+    in_read: Option<Vec<LeaseQuery>>,
+}
+
+impl ConnectedEntries {
+    pub(in crate::daemon::control) fn add(&mut self, link: LinkId, host: HostName) {
+        self.links.insert(link, ConnectedEntry { host, config: 0 });
+    }
+
+    pub(in crate::daemon::control) fn remove(&mut self, link: LinkId) {
+        self.links.remove(&link);
+        self.subscribers.remove(&link);
+        self.fleet.forget(&link);
+    }
+
+    /// All connected entries.
+    pub(in crate::daemon::control) fn links(&self) -> impl Iterator<Item = LinkId> {
+        self.links.keys().copied()
+    }
+
+    /// All connected entries with their state.
+    pub(in crate::daemon::control) fn all(&self) -> impl Iterator<Item = &ConnectedEntry> {
+        self.links.values()
+    }
+
+    pub(in crate::daemon::control) fn record_load(
+        &mut self,
+        now: Duration,
+        link: LinkId,
+        follows: bool,
+        load: LoadWord,
+    ) {
+        self.fleet.take(now, link, load);
+        if follows {
+            self.subscribers.insert(link);
+        } else {
+            self.subscribers.remove(&link);
+        }
+    }
+
+    /// Sends each subscriber the load of the other entries by `send`, and starts a new period; returns the
+    /// number of upstream loads sent.
+    ///
+    /// Builds one message at a time: all together take some 100 bytes for each pair of entry and upstream.
+    pub(in crate::daemon::control) fn send_fleet_load(
+        &mut self,
+        now: Duration,
+        send: impl Fn(LinkId, FromRelay),
+    ) -> usize {
+        let entries = self.fleet.entries(now);
+        let totals = self.fleet.totals(now);
+        let mut sent = 0;
+        for link in &self.subscribers {
+            let load = self.fleet.without(now, &totals, link);
+            sent += load.upstreams.len();
+            send(*link, FromRelay::Fleet { entries, load });
+        }
+        self.fleet.next_period(now);
+        sent
+    }
+
+    /// Queues a query; returns whether the caller has to start a read.
+    pub(in crate::daemon::control) fn queue_query(&mut self, query: LeaseQuery) -> bool {
+        if let Some(entry) = self.links.get_mut(&query.link) {
+            entry.config = query.have;
+        }
+        self.queued.push(query);
+        self.start_read()
+    }
+
+    /// Starts a read for all queued queries, unless one is in progress; returns whether it did.
+    pub(in crate::daemon::control) fn start_read(&mut self) -> bool {
+        if self.in_read.is_some() || self.queued.is_empty() {
+            return false;
+        }
+        self.in_read = Some(std::mem::take(&mut self.queued));
+        true
+    }
+
+    /// Finishes the read; returns the queries that it answers.
+    pub(in crate::daemon::control) fn finish_read(&mut self) -> Vec<LeaseQuery> {
+        self.in_read.take().unwrap_or_default()
+    }
+}
--- /dev/null
+++ b/src/coltsfootnotch/daemon/control/seeded/handlers.rs
@@ -0,0 +1,296 @@
+//! Periodic tasks and request handlers of a control host that uses discovery.
+
+use std::time::Duration;
+
+use coltsfootnotch_consensus::MemberChange;
+use coltsfootnotch_fabric::LinkId;
+use coltsfootnotch_forward::load::reporting_period;
+use coltsfootnotch_state::{ApplyConfig, BodyDigest, ConfigReply, Op, Reply};
+use coltsfootnotch_wire::FromRelay;
+use tokio::sync::oneshot;
+
+use super::bootstrap::{BootstrapBlocked, ObservedHost};
+use super::entries::LeaseQuery;
+use super::members::GroupView;
+use super::{Call, CallReply};
+use crate::core::{decode_reply, encode_op};
+use crate::daemon::control::daemon::ControlDaemon;
+use crate::daemon::control::packet::{LeaderRequest, LeaderResponse};
+use crate::daemon::control::request_table::Origin;
+use crate::util::events;
+
+/// Minimum interval of load rounds per upstream load sent. Each takes some 25 bytes and 2 microseconds, so
+/// a control host spends at most 1 MB/s and a tenth of a core on them; in a very large fleet updates are
+/// less frequent.
+const SEND_TIME_PER_LOAD: Duration = Duration::from_micros(25);
+
+/// Interval of log lines while there is no group. A starting fleet has one within a second.
+pub(super) const NO_GROUP_LOG_INTERVAL: Duration = Duration::from_secs(2);
+
+impl ControlDaemon {
+    /// Dials peers, bootstraps the group, changes its members and updates the entries.
+    pub(in crate::daemon::control) fn maintain_seeded(&mut self, now: Duration) {
+        if self.seeded.is_none() {
+            return;
+        }
+        self.dial_peers(now);
+        self.bootstrap_seeded(now);
+        self.change_members(now);
+        self.expire_upstreams(now);
+        self.send_alive(now);
+    }
+
+    /// Sends the load of the fleet to entries, if it is due.
+    pub(in crate::daemon::control) fn send_fleet_load(&mut self, now: Duration) {
+        let Some(seeded) = &mut self.seeded else {
+            return;
+        };
+        if now < seeded.load_due {
+            return;
+        }
+        let links = &self.links;
+        let send = |link, message| {
+            if let Some(link) = links.get(link) {
+                link.send_host(message);
+            }
+        };
+        let sent = seeded.entries.send_fleet_load(now, send);
+        let entries = seeded.entries.fleet.entries(now);
+        let period = reporting_period(entries)
+            .max(SEND_TIME_PER_LOAD * u32::try_from(sent).unwrap_or(u32::MAX));
+        seeded.load_due = now + period;
+    }
+
+    fn dial_peers(&mut self, now: Duration) {
+        let Some(seeded) = &mut self.seeded else {
+            return;
+        };
+        let addresses = seeded.discovery.addresses_to_dial(now);
+        self.dials.keep(&self.endpoint, &addresses);
+        if let Some(addresses) = seeded.discovery.addresses_to_save(now) {
+            self.disk.save_addresses(addresses);
+        }
+    }
+
+    fn bootstrap_seeded(&mut self, now: Duration) {
+        let Some(seeded) = &mut self.seeded else {
+            return;
+        };
+        let discovery_hello = seeded.discovery.hello();
+        let local = self.bootstrap.local_hello();
+        if !local.empty {
+            return;
+        }
+        let local = ObservedHost {
+            member: &local.member,
+            empty: local.empty,
+            hello: &discovery_hello,
+        };
+        let bootstrap = &self.bootstrap;
+        let others = seeded.discovery.connected().filter_map(|(host, hello)| {
+            let member_hello = bootstrap.hello_of(host)?;
+            Some(ObservedHost {
+                member: &member_hello.member,
+                empty: member_hello.empty,
+                hello,
+            })
+        });
+        let due = seeded.bootstrap.due(now, local, others);
+        match due {
+            Ok(members) => self.bootstrap_group(now, members),
+            Err(why) => self.log_no_group(now, &why),
+        }
+    }
+
+    /// Logs periodically why there is no group yet; without one no configuration is accepted.
+    fn log_no_group(&mut self, now: Duration, why: &BootstrapBlocked) {
+        let Some(seeded) = &mut self.seeded else {
+            return;
+        };
+        if now < seeded.no_group_log_due {
+            return;
+        }
+        seeded.no_group_log_due = now + NO_GROUP_LOG_INTERVAL;
+        let connected = seeded.discovery.connected().count();
+        self.host.log(
+            &events::NO_GROUP_YET,
+            &[("reason", why), ("control_hosts", &connected)],
+        );
+    }
+
+    fn change_members(&mut self, now: Duration) {
+        let members = self.replica.core().status().members;
+        let Some(seeded) = &mut self.seeded else {
+            return;
+        };
+        let local = &self.bootstrap.local_hello().member;
+        let others = self.bootstrap.seeded_peers();
+        seeded.connectivity.update(now, &members, local, others);
+        if !self.replica.core().is_leader() {
+            return;
+        }
+        let view = GroupView {
+            members: &members,
+            peers: &self.replica.core().peers(),
+            connectivity: &seeded.connectivity,
+        };
+        let Some(change) = view.next_change(now) else {
+            return;
+        };
+        // Refused while an earlier change is not finished; retried in the next round.
+        if self.replica.core_mut().change_members(now, &change).is_ok() {
+            self.log_change(&change);
+        }
+    }
+
+    fn log_change(&self, change: &MemberChange) {
+        let (what, member, replaces) = match change {
+            MemberChange::Add { member, replaces } => ("add", member, replaces.as_ref()),
+            MemberChange::Promote { member, replaces } => ("promote", member, replaces.as_ref()),
+            MemberChange::Remove { member } => ("remove", member, None),
+        };
+        let replaces = replaces.map_or_else(|| "none".to_owned(), ToString::to_string);
+        self.host.log(
+            &events::MEMBERS_CHANGING,
+            &[
+                ("change", &what),
+                ("member", member),
+                ("replaces", &replaces),
+            ],
+        );
+    }
+
+    /// Handles a call of an operator or an upstream.
+    pub(in crate::daemon::control) fn on_call(
+        &mut self,
+        now: Duration,
+        call: Call,
+        tx: oneshot::Sender<CallReply>,
+    ) {
+        if let Some(redirect) = self.redirect() {
+            let _caller_waits = tx.send(redirect);
+            return;
+        }
+        match call {
+            Call::Announce(announcement) => {
+                self.on_announcement(now, announcement);
+                let _caller_waits = tx.send(CallReply::Done);
+            }
+            Call::Leave { id, born_ms } => {
+                self.on_upstream_left(now, &id, born_ms);
+                let _caller_waits = tx.send(CallReply::Done);
+            }
+            Call::Apply { number, body } => self.apply(now, number, body, tx),
+            Call::Read => self.submit_call(now, LeaderRequest::Read, tx),
+        }
+    }
+
+    /// The reply of a host that has no log: a redirect to one that has.
+    fn redirect(&mut self) -> Option<CallReply> {
+        let discovery = &mut self.seeded.as_mut()?.discovery;
+        if discovery.has_log() {
+            return None;
+        }
+        let log_host = discovery.next_log_host();
+        Some(log_host.map_or(CallReply::Unknown, CallReply::Elsewhere))
+    }
+
+    fn apply(&mut self, now: Duration, number: u64, body: Vec<u8>, tx: oneshot::Sender<CallReply>) {
+        let digest = BodyDigest::of(&body);
+        let req = ApplyConfig {
+            number,
+            digest,
+            body,
+        };
+        if self.replica.machine().config().known(&req).is_some() {
+            // Already accepted or superseded; both are committed.
+            let _caller_waits = tx.send(CallReply::Done);
+            return;
+        }
+        let body = LeaderRequest::Propose(encode_op(&Op::ApplyConfig(req)));
+        self.submit_call(now, body, tx);
+    }
+
+    fn submit_call(&mut self, now: Duration, body: LeaderRequest, tx: oneshot::Sender<CallReply>) {
+        let Some(seeded) = &mut self.seeded else {
+            return;
+        };
+        let id = seeded.calls.open(tx);
+        self.submit(now, Origin::Call(id), body);
+    }
+
+    /// Sends the control group's response to a call.
+    pub(in crate::daemon::control) fn finish_call(&mut self, id: u64, response: &LeaderResponse) {
+        let reply = match response {
+            LeaderResponse::Proposed(Ok(bytes)) => reply_to_apply(bytes),
+            LeaderResponse::Proposed(Err(_))
+            | LeaderResponse::NotLeader
+            | LeaderResponse::Read(_)
+            | LeaderResponse::Members(_) => CallReply::Unknown,
+        };
+        if let Some(seeded) = &mut self.seeded {
+            seeded.calls.respond(id, reply);
+        }
+    }
+
+    /// Sends the configuration to a read call, after its index is applied.
+    pub(in crate::daemon::control) fn respond_to_read(&mut self, id: u64) {
+        let config = self.config_body();
+        if let Some(seeded) = &mut self.seeded {
+            seeded.calls.respond(id, CallReply::Config(config));
+        }
+    }
+
+    /// Handles an entry's query whether its configuration is the newest.
+    pub(in crate::daemon::control) fn on_lease_query(
+        &mut self,
+        now: Duration,
+        link: LinkId,
+        id: u64,
+        have: u64,
+    ) {
+        let Some(seeded) = &mut self.seeded else {
+            return;
+        };
+        if seeded.entries.queue_query(LeaseQuery { link, id, have }) {
+            self.submit(now, Origin::Leases, LeaderRequest::Read);
+        }
+    }
+
+    /// Finishes the read for lease queries; they are only answered if it is `confirmed`.
+    pub(in crate::daemon::control) fn finish_lease_read(&mut self, now: Duration, confirmed: bool) {
+        let Some(seeded) = &mut self.seeded else {
+            return;
+        };
+        let queries = seeded.entries.finish_read();
+        let is_read_started = seeded.entries.start_read();
+        if confirmed {
+            self.respond_to_leases(&queries);
+        }
+        if is_read_started {
+            self.submit(now, Origin::Leases, LeaderRequest::Read);
+        }
+    }
+
+    fn respond_to_leases(&self, queries: &[LeaseQuery]) {
+        let number = self.replica.machine().config().number();
+        for query in queries {
+            let newer = (query.have < number).then(|| self.config_body()).flatten();
+            let id = query.id;
+            self.send_to_host(query.link, FromRelay::Lease { id, number, newer });
+        }
+    }
+}
+
+fn reply_to_apply(bytes: &[u8]) -> CallReply {
+    match decode_reply(bytes) {
+        Ok(Reply::Config(
+            ConfigReply::Accepted { .. } | ConfigReply::Conflict { .. } | ConfigReply::Stale { .. },
+        )) => CallReply::Done,
+        Ok(_) => CallReply::Unknown,
+        Err(e) => {
+            log::error!("failed to decode the control group's reply: {e}");
+            CallReply::Unknown
+        }
+    }
+}
--- a/src/coltsfootnotch/daemon/control/seeded/members.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/members.rs
@@ -1,53 +1,47 @@
-//! Which change of members the leader makes next, without an operator.
+//! Automatic membership changes by the leader.
 //!
-//! **Failure.** A control host is lost for good, or comes back with an empty disk. As long as it has a
-//! vote, the group bears one loss less. A newcomer that gets a vote beside it makes that worse: four
-//! voters, one of them gone, need all three others.
+//! A voter that is lost for good, or returns with an empty disk, reduces the fault tolerance of the
+//! group. Another voter beside it doesn't help: four voters, one of them lost, need all three others.
+//! A new member is therefore added as a learner, and is promoted only in place of a lost voter, to the
+//! next odd number of voters together with another learner, or below [`MIN_VOTERS`].
 //!
-//! **Safeguard.** A newcomer receives the log as a learner and stays one. It gets a vote only
-//!
-//! - in place of a voter that is gone, which is decided when it is given the vote, not when it came;
-//! - or where that lets the group bear more: together with another, to the next odd number, or below
-//!   [`MIN_VOTERS`].
-//!
-//! A group of an even number removes a voter that is gone at once. That can't harm: every majority of
-//! `2k` voters, less any one of them, is still a majority of the `2k - 1` others. Removing one of an odd
-//! number gains nothing by itself and costs its return, so the group waits longer, does it only while all
-//! others are connected, and never goes below [`MIN_VOTERS`].
+//! An even group removes a lost voter at once, since every majority of `2k` voters without any one voter
+//! is a majority of the other `2k - 1`. An odd group gains nothing by that, so it waits longer, requires
+//! all other voters to be connected, and never shrinks below [`MIN_VOTERS`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use coltsfootnotch_consensus::{MemberChange, MemberId, Membership, PeerStatus};
 
-use super::Contact;
+use super::Connectivity;
 
-/// Most voters: seven bear the loss of three, and every change costs a message to each.
+/// Most voters; seven tolerate the loss of three.
 pub const MAX_VOTERS: usize = 7;
-/// Fewest voters that the group shrinks to: three bear the loss of one.
+/// Fewest voters that the group shrinks to; three tolerate the loss of one.
 pub const MIN_VOTERS: usize = 3;
-/// Most learners: two make the next odd number of voters, or replace two voters.
+/// Most learners: enough to grow to the next odd number, or to replace two voters.
 pub const MAX_LEARNERS: usize = 2;
-/// Silence after which a member counts as gone. A restart takes about a second.
-const GONE_AFTER: Duration = Duration::from_millis(1_500);
-/// Silence up to which a member is taken for present: some heartbeats.
-const HEARD_WITHIN: Duration = Duration::from_millis(500);
-/// Silence after which a voter of an odd number is removed without a replacement. Longer than hosts
-/// usually freeze or are cut off, since those come back.
-const REMOVE_AFTER: Duration = Duration::from_secs(8);
-/// Time for which a newcomer has to be there before the group grows by it. Longer than a planned
+/// Silence after which a member counts as lost. A restart takes about a second.
+const LOST_AFTER: Duration = Duration::from_millis(1_500);
+/// Longest silence of a member that counts as reachable; some heartbeat intervals.
+const RECENT_CONTACT: Duration = Duration::from_millis(500);
+/// Silence after which a voter of an odd group is removed without a replacement. Longer than usual
+/// process stalls and network partitions, from which hosts return.
+const REMOVE_VOTER_AFTER: Duration = Duration::from_secs(8);
+/// How long a new member has to be connected before the group grows by it. Longer than a planned
 /// replacement takes.
 const GROW_AFTER: Duration = Duration::from_secs(30);
 
-/// What the leader knows of the group and of those that could join it.
+/// The leader's view of the group and of hosts that could join it.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupView<'a> {
     /// The members of the group.
     pub members: &'a Membership,
-    /// What the leader's log knows of the other members.
+    /// Replication state of the other members.
     pub peers: &'a BTreeMap<MemberId, PeerStatus>,
-    /// Who is connected to the leader, and since when.
-    pub contact: &'a Contact,
+    /// Control hosts connected to the leader.
+    pub connectivity: &'a Connectivity,
 }
 
 impl GroupView<'_> {
@@ -59,7 +53,7 @@
         }
         self.shrink_to_odd(now)
             .or_else(|| self.replace(now))
-            .or_else(|| self.give_up_learner(now))
+            .or_else(|| self.remove_lost_learner(now))
             .or_else(|| self.admit())
             .or_else(|| self.grow(now))
             .or_else(|| self.shrink_from_odd(now))
@@ -69,16 +63,16 @@
         if self.has_odd_voters() || self.members.voters.len() <= MIN_VOTERS {
             return None;
         }
-        let member = self.gone_voter(now)?.clone();
+        let member = self.lost_voter(now)?.clone();
         Some(MemberChange::Remove { member })
     }
 
     fn replace(&self, now: Duration) -> Option<MemberChange> {
-        let gone = self.gone_voter(now);
+        let lost = self.lost_voter(now);
         self.ready_learners().find_map(|learner| {
             let named = self.members.learners.get(learner)?.as_ref();
             let named = named.filter(|m| self.members.voters.contains(*m));
-            let replaced = named.or(gone)?;
+            let replaced = named.or(lost)?;
             Some(MemberChange::Promote {
                 member: learner.clone(),
                 replaces: Some(replaced.clone()),
@@ -86,12 +80,12 @@
         })
     }
 
-    /// Gives up a learner that does not return, so that it keeps no newcomer out.
-    fn give_up_learner(&self, now: Duration) -> Option<MemberChange> {
+    /// Removes a lost learner, so that it doesn't block new members.
+    fn remove_lost_learner(&self, now: Duration) -> Option<MemberChange> {
         let mut learners = self.members.learners.keys();
-        let gone =
-            learners.find(|m| self.has_other_disk(m) || self.silent_for(now, m) >= GONE_AFTER)?;
-        let member = gone.clone();
+        let lost =
+            learners.find(|m| self.has_other_disk(m) || self.silent_for(now, m) >= LOST_AFTER)?;
+        let member = lost.clone();
         Some(MemberChange::Remove { member })
     }
 
@@ -99,13 +93,13 @@
         if self.members.learners.len() >= MAX_LEARNERS {
             return None;
         }
-        let newcomer = self
-            .contact
+        let new_member = self
+            .connectivity
             .connected()
             .iter()
             .find(|m| !self.members.contains(m))?;
         Some(MemberChange::Add {
-            member: newcomer.clone(),
+            member: new_member.clone(),
             replaces: None,
         })
     }
@@ -117,10 +111,10 @@
         } else {
             2
         };
-        let settled = |m: &&MemberId| needed == 1 || self.has_come_to_stay(now, m);
-        let learners: Vec<_> = self.ready_learners().filter(settled).collect();
+        let is_eligible = |m: &&MemberId| needed == 1 || self.is_established(now, m);
+        let learners: Vec<_> = self.ready_learners().filter(is_eligible).collect();
         let fits = voters + needed <= MAX_VOTERS;
-        if !fits || learners.len() < needed || !self.has_all_voters() {
+        if !fits || learners.len() < needed || !self.has_all_voters_ready() {
             return None;
         }
         let member = learners.first().copied()?.clone();
@@ -130,11 +124,11 @@
         })
     }
 
-    /// Whether the learner is no newcomer in place of a voter that is about to leave: a group that grew
-    /// by two of those would have two voters too many, gone for good, once the others leave.
-    fn has_come_to_stay(&self, now: Duration, learner: &MemberId) -> bool {
-        let is_first_start = self.contact.is_first_starter(learner);
-        is_first_start || self.contact.here_for(now, learner) >= GROW_AFTER
+    /// Whether the learner has been connected long enough to grow the group by it. In a planned replacement
+    /// the old voter leaves soon after the new member joins, and growing would leave a lost voter behind.
+    fn is_established(&self, now: Duration, learner: &MemberId) -> bool {
+        let is_first_start = self.connectivity.is_first_start(learner);
+        is_first_start || self.connectivity.connected_for(now, learner) >= GROW_AFTER
     }
 
     fn shrink_from_odd(&self, now: Duration) -> Option<MemberChange> {
@@ -142,70 +136,72 @@
         if voters.len() <= MIN_VOTERS {
             return None;
         }
-        let gone = |m: &&MemberId| self.silent_for(now, m) >= REMOVE_AFTER;
-        let member = voters.iter().find(gone)?;
+        let is_lost = |m: &&MemberId| self.silent_for(now, m) >= REMOVE_VOTER_AFTER;
+        let member = voters.iter().find(is_lost)?;
         let mut others = voters.iter().filter(|m| *m != member);
         others
-            .all(|m| self.contact.connected().contains(m))
+            .all(|m| self.connectivity.connected().contains(m))
             .then(|| MemberChange::Remove {
                 member: member.clone(),
             })
     }
 
-    /// Whether every voter has just been heard and has caught up. One that is missing may be gone without
-    /// having been silent for long enough to be replaced; the group must not grow beside it.
-    fn has_all_voters(&self) -> bool {
-        // The leader is no peer of its own.
-        let is_here =
-            |m| self.contact.connected().contains(m) && self.peers.get(m).is_none_or(follows);
-        self.members.voters.iter().all(is_here)
+    /// Whether every voter is connected and up to date. A missing voter may be lost but not silent for long
+    /// enough to be replaced; the group must not grow beside it.
+    fn has_all_voters_ready(&self) -> bool {
+        // The leader has no entry in `peers`.
+        let is_ready = |m| {
+            self.connectivity.connected().contains(m) && self.peers.get(m).is_none_or(is_up_to_date)
+        };
+        self.members.voters.iter().all(is_ready)
     }
 
     fn has_odd_voters(&self) -> bool {
         !self.members.voters.len().is_multiple_of(2)
     }
 
-    /// A voter that is gone, preferably one that can't return.
-    fn gone_voter(&self, now: Duration) -> Option<&MemberId> {
+    /// A lost voter, preferably one that can't return.
+    fn lost_voter(&self, now: Duration) -> Option<&MemberId> {
         let voters = &self.members.voters;
         let lost_disk = voters.iter().find(|m| self.has_other_disk(m));
         lost_disk.or_else(|| {
             let silent = voters.iter().map(|m| (self.silent_for(now, m), m));
             let longest = silent.max_by_key(|(silent, _)| *silent)?;
-            (longest.0 >= GONE_AFTER).then_some(longest.1)
+            (longest.0 >= LOST_AFTER).then_some(longest.1)
         })
     }
 
-    /// Whether the host of the member runs with another disk, so that the member can never return.
+    /// Whether the member's host runs with another disk, so that the member can never return.
     fn has_other_disk(&self, member: &MemberId) -> bool {
-        let on_host = self
-            .contact
+        let current_member = self
+            .connectivity
             .connected()
             .iter()
             .find(|m| m.host == member.host);
-        on_host.is_some_and(|m| m != member)
+        current_member.is_some_and(|m| m != member)
     }
 
-    /// How long the member has not answered or not been connected, whichever is longer. A member that is
-    /// connected and does not answer, as with a disk that hangs, bears no loss either.
+    /// How long the member has not responded or been disconnected, whichever is longer. A connected member
+    /// that doesn't respond, as with a hanging disk, counts as lost as well.
     fn silent_for(&self, now: Duration, member: &MemberId) -> Duration {
-        let unheard = self.peers.get(member).map(|peer| peer.silent_for);
-        unheard
+        let unanswered = self.peers.get(member).map(|peer| peer.silent_for);
+        unanswered
             .unwrap_or_default()
-            .max(self.contact.away_for(now, member))
+            .max(self.connectivity.disconnected_for(now, member))
     }
 
-    /// Learners that can get a vote now. One that has just been lost must not: beside a voter that is gone
-    /// its vote would be needed, and the group could not even commit that it has one.
+    /// Learners that can be promoted now: connected and up to date. The vote of an unreachable learner could
+    /// be needed beside a lost voter, and the group could not commit the promotion.
     fn ready_learners(&self) -> impl Iterator<Item = &MemberId> {
         let learners = self.members.learners.keys();
         learners.filter(|m| {
-            self.contact.connected().contains(*m) && self.peers.get(*m).is_some_and(follows)
+            self.connectivity.connected().contains(*m)
+                && self.peers.get(*m).is_some_and(is_up_to_date)
         })
     }
 }
 
-/// Whether a member has just been heard and lacks nothing.
-fn follows(peer: &PeerStatus) -> bool {
-    peer.caught_up && peer.silent_for < HEARD_WITHIN
+/// Whether a member has responded recently and has caught up.
+fn is_up_to_date(peer: &PeerStatus) -> bool {
+    peer.caught_up && peer.silent_for < RECENT_CONTACT
 }
--- a/src/coltsfootnotch/daemon/control/seeded/mod.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/mod.rs
@@ -1,17 +1,16 @@
-//! A control host that is told nothing but a few addresses of others.
+//! A control host that discovers its peers from a few seed addresses.
 //!
-//! Where nobody lists the control hosts, they find each other: each dials the seeds of its settings
-//! and every control host that others are connected to. The group is founded once, by one of the seeds
-//! ([`founding`]); after that the leader admits and replaces members by itself ([`upkeep`]).
-//! Forwarding entries and upstreams are served here as well, since no sidecar stands between.
+//! Each host dials the seeds of its settings and every control host that its peers are connected to. One
+//! of the seeds bootstraps the group once ([`bootstrap`]); after that the leader adds and replaces members
+//! automatically ([`members`]). Forwarding entries and upstreams connect directly, without sidecars.
 
+pub mod bootstrap;
 mod call;
-mod contact;
-mod finding;
-mod followers;
-pub mod founding;
+mod connectivity;
+mod discovery;
+mod entries;
+mod handlers;
 pub mod members;
-mod upkeep;
 mod upstreams;
 
 use std::net::SocketAddr;
@@ -21,75 +20,75 @@
 use coltsfootnotch_wire::{FromRelay, UpstreamSign};
 use serde::{Deserialize, Serialize};
 
+use self::bootstrap::SeededBootstrap;
 pub(super) use self::call::Calls;
 pub use self::call::{Call, CallReply};
-pub use self::contact::Contact;
-pub use self::finding::Finding;
-pub(super) use self::followers::{Follower, Followers};
-use self::founding::SeededFounding;
+pub use self::connectivity::Connectivity;
+pub use self::discovery::Discovery;
+pub(super) use self::entries::{ConnectedEntries, ConnectedEntry};
 
-/// What a control host is told that has to find the others.
+/// Settings for the discovery of control hosts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seeds {
-    /// Fleet addresses of some control hosts, perhaps its own among them.
+    /// Fleet addresses of some control hosts; may include the host's own.
     pub addresses: Vec<SocketAddr>,
-    /// Whether the whole fleet starts for the first time. A host that joins later, or has lost its
-    /// disk, never founds a group.
+    /// Whether the whole fleet starts for the first time. False for a host that joins later or has lost
+    /// its disk, which must never bootstrap a group.
     pub first_start: bool,
 }
 
-/// What a control host that finds the others says of itself besides its membership.
+/// Discovery state of a control host, sent with its hello.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeededHello {
     /// Its fleet address.
     pub address: SocketAddr,
-    /// Whether its settings say that the fleet starts for the first time.
+    /// Whether its settings are for the first start of the fleet.
     pub first_start: bool,
     /// The seeds of its settings, sorted.
     pub seeds: Vec<SocketAddr>,
-    /// Whether it keeps a log; without a disk it can't.
-    pub keeps_log: bool,
-    /// Fleet addresses of the control hosts that it is connected to.
+    /// Whether it has a log, which needs a disk.
+    pub has_log: bool,
+    /// Fleet addresses of the control hosts connected to it.
     pub connected: Vec<SocketAddr>,
 }
 
-/// The part of a control host that exists only where hosts find each other.
+/// State of a control host that uses discovery.
 pub(super) struct Seeded {
-    pub(super) finding: Finding,
-    pub(super) founding: SeededFounding,
-    pub(super) followers: Followers,
+    pub(super) discovery: Discovery,
+    pub(super) bootstrap: SeededBootstrap,
+    pub(super) entries: ConnectedEntries,
     pub(super) calls: Calls,
-    pub(super) book: UpstreamBook,
-    /// When it is told next why there is no group yet.
-    pub(super) waiting_due: Duration,
-    pub(super) contact: Contact,
-    pub(super) fleet_due: Duration,
-    /// Upstreams that said no more than that they live, since entries were told.
+    pub(super) registry: UpstreamBook,
+    /// Time of the next log line on the missing group.
+    pub(super) no_group_log_due: Duration,
+    pub(super) connectivity: Connectivity,
+    pub(super) load_due: Duration,
+    /// Liveness signs of unchanged upstreams since the last broadcast to entries.
     pub(super) alive: Vec<UpstreamSign>,
     pub(super) alive_due: Duration,
 }
 
 impl Seeded {
-    pub(super) fn new(now: Duration, finding: Finding) -> Self {
+    pub(super) fn new(now: Duration, discovery: Discovery) -> Self {
         Self {
-            finding,
-            founding: SeededFounding::default(),
-            followers: Followers::default(),
+            discovery,
+            bootstrap: SeededBootstrap::default(),
+            entries: ConnectedEntries::default(),
             calls: Calls::default(),
-            book: UpstreamBook::default(),
-            waiting_due: now + upkeep::SAY_WAITING_EVERY,
-            contact: Contact::default(),
-            fleet_due: now,
+            registry: UpstreamBook::default(),
+            no_group_log_due: now + handlers::NO_GROUP_LOG_INTERVAL,
+            connectivity: Connectivity::default(),
+            load_due: now,
             alive: Vec::new(),
             alive_due: now,
         }
     }
 
-    /// Where the control hosts are that keep a log, for forwarding entries.
+    /// Addresses of the control hosts that have a log, for forwarding entries.
     pub(super) fn control_hosts(&self) -> FromRelay {
         FromRelay::ControlHosts {
-            keeps_log: self.finding.keeps_log(),
-            addresses: self.finding.keepers(),
+            keeps_log: self.discovery.has_log(),
+            addresses: self.discovery.log_hosts(),
         }
     }
 }
