--- a/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
@@ -1,4 +1,4 @@
-//! What upstreams announce, and how the forwarding entries hear of it.
+//! Announcements of upstreams, and their broadcast to forwarding entries.
 
 use std::time::Duration;
 
@@ -11,40 +11,44 @@
 use crate::daemon::control::packet::MemberPacket;
 use crate::util::events;
 
-/// Silence after which an upstream is forgotten here: several announcements of it were lost. Entries
-/// have noticed by their own requests long before.
-const SILENCE: Duration = Duration::from_secs(6);
+/// Silence after which an upstream expires, several announcement intervals. Entries detect failed
+/// upstreams earlier by their own requests.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Between two rounds in which entries are told that upstreams still live, far below their silence.
-const ALIVE_EVERY: Duration = Duration::from_millis(500);
-/// The longest such time, in a very large fleet: entries drop an upstream after 8 s of silence.
-const ALIVE_LATEST: Duration = Duration::from_secs(3);
-/// Time kept between two rounds for each sign to each entry: one takes some 20 bytes, so a control host
-/// spends about a megabyte a second on them.
-const SIGN_TIME: Duration = Duration::from_micros(20);
+/// Shortest interval of broadcasts of liveness signs, well below the entries' timeout.
+const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest such interval, in a very large fleet; entries expire an upstream after 8 s of silence.
+const MAX_ALIVE_INTERVAL: Duration = Duration::from_secs(3);
+/// Minimum interval of broadcasts per sign sent. Each takes some 20 bytes, so a control host spends at
+/// most 1 MB/s on them.
+const SEND_TIME_PER_SIGN: Duration = Duration::from_micros(20);
 
 impl ControlDaemon {
-    /// An upstream announces itself.
+    /// Handles an upstream's announcement.
     ///
-    /// Entries are told before it is answered: whoever leaves may count on it that nobody sends new
-    /// work for long, and a word that waited for the next round could be lost with this host.
-    pub(in crate::daemon::control) fn announced(&mut self, now: Duration, said: Announcement) {
+    /// Changes are sent to entries before the caller gets its reply: a departing upstream relies on it, and
+    /// a delayed broadcast could be lost with this host.
+    pub(in crate::daemon::control) fn on_announcement(
+        &mut self,
+        now: Duration,
+        announcement: Announcement,
+    ) {
         let Some(seeded) = &mut self.seeded else {
             return;
         };
-        let word = UpstreamWord::from(&said);
-        let news = seeded.book.take(now, said);
-        if news == News::Changed {
-            self.log_upstream(&word);
+        let report = UpstreamWord::from(&announcement);
+        let update = seeded.registry.take(now, announcement);
+        if update == News::Changed {
+            self.log_upstream(&report);
         }
-        match news {
-            News::Changed => self.tell_followers(&FromRelay::Upstreams(vec![word])),
+        match update {
+            News::Changed => self.broadcast_to_entries(&FromRelay::Upstreams(vec![report])),
             News::Alive => {
                 if let Some(seeded) = &mut self.seeded {
                     seeded.alive.push(UpstreamSign {
-                        id: word.id,
-                        born_ms: word.born_ms,
-                        sequence: word.sequence,
+                        id: report.id,
+                        born_ms: report.born_ms,
+                        sequence: report.sequence,
                     });
                 }
             }
@@ -52,9 +56,8 @@
         }
     }
 
-    /// Tells entries which upstreams still live, many at once: each such word alone would wake every
-    /// entry several times a second for nothing new.
-    pub(super) fn tell_alive(&mut self, now: Duration) {
+    /// Broadcasts the liveness signs of unchanged upstreams in one message, to wake entries less often.
+    pub(super) fn send_alive(&mut self, now: Duration) {
         let Some(seeded) = &mut self.seeded else {
             return;
         };
@@ -62,32 +65,33 @@
             return;
         }
         let alive = std::mem::take(&mut seeded.alive);
-        let signs = alive.len() * seeded.followers.links().count();
-        let time = SIGN_TIME * u32::try_from(signs).unwrap_or(u32::MAX);
-        seeded.alive_due = now + time.clamp(ALIVE_EVERY, ALIVE_LATEST);
+        let signs = alive.len() * seeded.entries.links().count();
+        let time = SEND_TIME_PER_SIGN * u32::try_from(signs).unwrap_or(u32::MAX);
+        seeded.alive_due = now + time.clamp(ALIVE_INTERVAL, MAX_ALIVE_INTERVAL);
         if !alive.is_empty() {
-            self.tell_followers(&FromRelay::UpstreamsAlive(alive));
+            self.broadcast_to_entries(&FromRelay::UpstreamsAlive(alive));
         }
     }
 
-    /// An upstream says that it has left. It may have announced itself to other control hosts only, so
-    /// they hear of it as well as the entries: one that is asked by a new entry must not name it.
-    pub(in crate::daemon::control) fn left(
+    /// Handles an upstream's report that it has left. It is sent to the other control hosts as well, so that
+    /// they don't list the upstream to new entries.
+    pub(in crate::daemon::control) fn on_upstream_left(
         &mut self,
         now: Duration,
         id: &str,
         born_ms: Option<u64>,
     ) {
-        if self.note_left(now, id, born_ms) {
-            self.links.send_members(&MemberPacket::UpstreamLeft {
-                id: id.to_owned(),
-                born_ms,
-            });
+        if self.record_upstream_left(now, id, born_ms) {
+            self.links
+                .broadcast_to_members(&MemberPacket::UpstreamLeft {
+                    id: id.to_owned(),
+                    born_ms,
+                });
         }
     }
 
-    /// The same, told by another control host.
-    pub(in crate::daemon::control) fn note_left(
+    /// Records that an upstream has left; returns `false` for a report of an earlier run.
+    pub(in crate::daemon::control) fn record_upstream_left(
         &mut self,
         now: Duration,
         id: &str,
@@ -96,76 +100,79 @@
         let Some(seeded) = &mut self.seeded else {
             return false;
         };
-        let holds = seeded.book.leave(now, id, born_ms);
-        if holds {
+        let is_recorded = seeded.registry.leave(now, id, born_ms);
+        if is_recorded {
             self.host
                 .log(&events::UPSTREAM_LEAVING, &[("upstream", &id)]);
-            self.tell_followers(&FromRelay::UpstreamLeft {
+            self.broadcast_to_entries(&FromRelay::UpstreamLeft {
                 id: id.to_owned(),
                 born_ms,
             });
         }
-        holds
+        is_recorded
     }
 
     pub(super) fn expire_upstreams(&mut self, now: Duration) {
         let Some(seeded) = &mut self.seeded else {
             return;
         };
-        for said in seeded.book.expire(now, SILENCE) {
+        for announcement in seeded.registry.expire(now, SILENCE_TIMEOUT) {
             self.host.log(
                 &events::UPSTREAM_SILENT,
-                &[("upstream", &said.id), ("service", &said.service)],
+                &[
+                    ("upstream", &announcement.id),
+                    ("service", &announcement.service),
+                ],
             );
         }
     }
 
-    /// Tells an entry that has just connected everything that holds.
-    pub(in crate::daemon::control) fn tell_all(&self, link: LinkId) {
+    /// Sends the current state to a newly connected entry.
+    pub(in crate::daemon::control) fn send_initial_state(&self, link: LinkId) {
         let Some(seeded) = &self.seeded else {
             return;
         };
-        self.tell(link, seeded.control_hosts());
-        if !seeded.finding.keeps_log() {
+        self.send_to_host(link, seeded.control_hosts());
+        if !seeded.discovery.has_log() {
             return;
         }
-        self.tell(link, FromRelay::Upstreams(known(seeded)));
-        for (id, born_ms) in seeded.book.left() {
+        self.send_to_host(link, FromRelay::Upstreams(upstream_reports(seeded)));
+        for (id, born_ms) in seeded.registry.left() {
             let id = id.to_owned();
-            self.tell(link, FromRelay::UpstreamLeft { id, born_ms });
+            self.send_to_host(link, FromRelay::UpstreamLeft { id, born_ms });
         }
-        // Only a higher number than the entry's has an effect there.
+        // An entry ignores a number that is not higher than its own.
         if let Some(config) = self.config_body() {
-            self.tell(link, FromRelay::Config(config));
+            self.send_to_host(link, FromRelay::Config(config));
         }
     }
 
-    pub(in crate::daemon::control) fn tell_followers(&self, message: &FromRelay) {
-        let followers = self.seeded.iter().flat_map(|s| s.followers.links());
-        for link in followers {
-            self.tell(link, message.clone());
+    pub(in crate::daemon::control) fn broadcast_to_entries(&self, message: &FromRelay) {
+        let entries = self.seeded.iter().flat_map(|s| s.entries.links());
+        for link in entries {
+            self.send_to_host(link, message.clone());
         }
     }
 
-    fn log_upstream(&self, word: &UpstreamWord) {
-        let event = match word.stage {
+    fn log_upstream(&self, report: &UpstreamWord) {
+        let event = match report.stage {
             coltsfootnotch_wire::UpstreamStage::Ready => &events::UPSTREAM_ANNOUNCED,
             _ => &events::UPSTREAM_LEAVING,
         };
         self.host.log(
             event,
             &[
-                ("upstream", &word.id),
-                ("service", &word.service),
-                ("address", &word.address),
-                ("born_ms", &word.born_ms),
-                ("sequence", &word.sequence),
+                ("upstream", &report.id),
+                ("service", &report.service),
+                ("address", &report.address),
+                ("born_ms", &report.born_ms),
+                ("sequence", &report.sequence),
             ],
         );
     }
 }
 
-fn known(seeded: &Seeded) -> Vec<UpstreamWord> {
-    let all = seeded.book.all();
+fn upstream_reports(seeded: &Seeded) -> Vec<UpstreamWord> {
+    let all = seeded.registry.all();
     all.map(|u| UpstreamWord::from(&u.said)).collect()
 }
--- a/src/coltsfootnotch/daemon/control/status.rs
+++ b/src/coltsfootnotch/daemon/control/status.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::daemon::ControlDaemon;
-use super::seeded::Follower;
+use super::seeded::ConnectedEntry;
 
 #[derive(Serialize)]
 struct Status<'a> {
@@ -78,7 +78,7 @@
     open: u64,
 }
 
-/// The state of the fleet as this control host knows it.
+/// The state of the fleet as seen by this control host.
 pub(super) fn to_json(daemon: &ControlDaemon) -> String {
     let member = daemon.replica.core().status();
     let machine = daemon.replica.machine();
@@ -102,7 +102,7 @@
         accounts: accounts(daemon),
         ledger,
     };
-    serde_json::to_string(&status).expect("a status has no map with keys other than strings")
+    serde_json::to_string(&status).expect("all map keys of a status are strings")
 }
 
 fn group<'a>(daemon: &ControlDaemon, member: &'a MemberStatus) -> Group<'a> {
@@ -116,7 +116,7 @@
         applied: member.applied.0,
         last: member.last.0,
         snapshot: member.snapshot.0,
-        commands_since_start: daemon.replica.replayed(),
+        commands_since_start: daemon.replica.commands_applied(),
         syncs: daemon.syncs,
         open_requests: daemon.requests.open_count(),
         voters: member.members.voters.iter().map(|m| &m.host).collect(),
@@ -135,17 +135,17 @@
     let records = daemon.relay.directory.hosts();
     let records = records.map(|record| host(record, daemon.is_lost_relay(&record.host)));
     let seeded = daemon.seeded.iter();
-    let entries = seeded.flat_map(|s| s.followers.all()).map(entry);
+    let entries = seeded.flat_map(|s| s.entries.all()).map(entry);
     records.chain(entries).collect()
 }
 
-/// A forwarding entry that is connected here. It is no member, so what is known of it is its own word.
-fn entry(follower: &Follower) -> Host<'_> {
+/// A connected forwarding entry. It has no directory record; its data is self-reported.
+fn entry(entry: &ConnectedEntry) -> Host<'_> {
     Host {
-        host: &follower.host,
+        host: &entry.host,
         incarnation: String::new(),
         presence: "present",
-        config: follower.config,
+        config: entry.config,
         role: Some(Role::Entry),
         domain: None,
         address: None,
@@ -182,7 +182,7 @@
         .collect()
 }
 
-/// The accounts of the configuration in force, with their service over the fleet.
+/// The accounts of the configuration in force, with their service in the whole fleet.
 fn accounts(daemon: &ControlDaemon) -> Vec<Account> {
     let Some(manifest) = daemon.config.manifest() else {
         return Vec::new();
--- a/tests/testsuite/control.rs
+++ b/tests/testsuite/control.rs
@@ -1,4 +1,4 @@
-//! Failures of the control group, with real files, real connections and whole daemons.
+//! Failure tests of the control group with real files, connections and daemons.
 
 mod client;
 mod configuration;
--- a/tests/testsuite/control/client.rs
+++ b/tests/testsuite/control/client.rs
@@ -14,7 +14,7 @@
 };
 use tokio::runtime::Handle;
 
-use super::group::{PATIENCE, wait_until};
+use super::group::{TIMEOUT, wait_until};
 
 /// A host or operator that is connected to one control daemon.
 pub(crate) struct Client {
@@ -24,7 +24,7 @@
     tx: LinkTx,
     id: u64,
     beats: u64,
-    /// Messages that came while another was awaited.
+    /// Other messages received by [`Self::wait_for`].
     pub(crate) seen: Vec<FromRelay>,
     _dialed: Dialed,
     _endpoint: Endpoint,
@@ -40,7 +40,7 @@
         let incarnation = Incarnation(rand::random());
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let endpoint = Endpoint::bind(runtime, any_port, credentials, incarnation, move |event| {
-            // The test may have ended.
+            // The test may have finished.
             let _ = to_client.send(event);
         })
         .expect("an endpoint");
@@ -50,7 +50,7 @@
         };
         let dialed = endpoint.dial(member.address, control);
         let tx = loop {
-            if let Event::Up { tx, .. } = events.recv_timeout(PATIENCE).expect("a connection") {
+            if let Event::Up { tx, .. } = events.recv_timeout(TIMEOUT).expect("a connection") {
                 break tx;
             }
         };
@@ -71,15 +71,15 @@
         self.tx.send(&Message::ToRelay(message)).expect("a message");
     }
 
-    /// Waits for the message that `wanted` takes; keeps the others.
-    pub(crate) fn wait_for<T>(&mut self, wanted: impl Fn(&FromRelay) -> Option<T>) -> T {
+    /// Waits for the first message that `expected` matches; the others are kept in `seen`.
+    pub(crate) fn wait_for<T>(&mut self, expected: impl Fn(&FromRelay) -> Option<T>) -> T {
         loop {
-            match self.events.recv_timeout(PATIENCE).expect("an answer") {
+            match self.events.recv_timeout(TIMEOUT).expect("an answer") {
                 Event::Message {
                     message: Message::FromRelay(message),
                     ..
-                } => match wanted(&message) {
-                    Some(found) => return found,
+                } => match expected(&message) {
+                    Some(value) => return value,
                     None => self.seen.push(message),
                 },
                 Event::Down { .. } => panic!("the daemon closed the connection"),
@@ -88,10 +88,10 @@
         }
     }
 
-    /// Whether the daemon closes the connection rather than answer anything more.
+    /// Waits until the daemon closes the connection; returns whether it does.
     pub(crate) fn is_closed(&mut self) -> bool {
         loop {
-            match self.events.recv_timeout(PATIENCE) {
+            match self.events.recv_timeout(TIMEOUT) {
                 Ok(Event::Down { .. }) => return true,
                 Ok(_) => {}
                 Err(_) => return false,
@@ -104,14 +104,14 @@
         self.id
     }
 
-    pub(crate) fn begin_propose(&mut self, op: &Op) -> u64 {
+    pub(crate) fn start_propose(&mut self, op: &Op) -> u64 {
         let id = self.next_id();
         let command = encode_op(op);
         self.send(ToRelay::Propose { id, command });
         id
     }
 
-    pub(crate) fn end_propose(&mut self, id: u64) -> Result<Reply, ProposeError> {
+    pub(crate) fn finish_propose(&mut self, id: u64) -> Result<Reply, ProposeError> {
         let reply = self.wait_for(|message| match message {
             FromRelay::Proposed { id: of, reply } if *of == id => Some(reply.clone()),
             _ => None,
@@ -120,13 +120,13 @@
     }
 
     pub(crate) fn propose(&mut self, op: &Op) -> Result<Reply, ProposeError> {
-        let id = self.begin_propose(op);
-        self.end_propose(id)
+        let id = self.start_propose(op);
+        self.finish_propose(id)
     }
 
-    /// Proposes again until the group answers, as hosts and operators do: on a busy machine an election
-    /// may come in between, and every operation is idempotent.
-    pub(crate) fn insist(&mut self, op: &Op) -> Reply {
+    /// Retries a proposal until the group answers, as hosts and operators do. Elections may occur on a busy
+    /// machine; every operation is idempotent.
+    pub(crate) fn propose_until_answered(&mut self, op: &Op) -> Reply {
         let mut reply = None;
         wait_until("the group answers", || {
             reply = self.propose(op).ok();
@@ -135,9 +135,9 @@
         reply.expect("a reply")
     }
 
-    /// Applies a configuration, again until the group answers.
+    /// Applies a configuration; retries until the group answers.
     pub(crate) fn apply(&mut self, req: ApplyConfig) -> ConfigReply {
-        config_reply(self.insist(&Op::ApplyConfig(req)))
+        config_reply(self.propose_until_answered(&Op::ApplyConfig(req)))
     }
 
     /// Applies a configuration, which must be accepted.
@@ -146,7 +146,7 @@
         assert!(matches!(reply, ConfigReply::Accepted { .. }), "{reply:?}");
     }
 
-    /// Applies a configuration once.
+    /// Applies a configuration without retries.
     pub(crate) fn try_apply(&mut self, req: ApplyConfig) -> Result<ConfigReply, ProposeError> {
         self.propose(&Op::ApplyConfig(req)).map(config_reply)
     }
@@ -161,7 +161,7 @@
         })
     }
 
-    /// The number of the newest configuration, asked until a quorum confirms it; zero for none.
+    /// The number of the newest configuration, queried until a quorum confirms it; zero for none.
     pub(crate) fn confirmed_number(&mut self) -> u64 {
         let mut number = None;
         wait_until("a quorum confirms", || {
@@ -236,7 +236,7 @@
     }
 }
 
-/// A change of configuration whose content depends on `accounts`.
+/// A configuration with these accounts.
 pub(crate) fn manifest(number: u64, accounts: &[&str]) -> ApplyConfig {
     let accounts: Vec<_> = accounts
         .iter()
--- a/tests/testsuite/control/configuration.rs
+++ b/tests/testsuite/control/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration that was accepted stays, and there is one of each number.
+//! Accepted configurations are durable, and each number is accepted once.
 
 use coltsfootnotch_manifest::{Manifest, ManifestDelta};
 use coltsfootnotch_state::{ConfigReply, Op};
@@ -9,10 +9,9 @@
 use super::client::{Client, config_reply, manifest};
 use super::group::{Group, free_address, wait_until};
 
-/// An operator applies configuration 1 and is told that it is accepted; the leader is lost, then
-/// another member, each with its data folder kept. The two that run have a majority each time, so
-/// the operator finds configuration 1 confirmed, and 2 is accepted after it. When all are back, each
-/// answers the same.
+/// The leader and then another member are lost after configuration 1 was accepted, each with its data
+/// folder kept. The remaining majority confirms 1 and accepts 2; after all have restarted, every member
+/// confirms 2.
 #[test]
 fn an_accepted_configuration_survives_the_loss_of_the_leader_and_of_another() {
     let mut group = Group::started(|_| {});
@@ -48,9 +47,8 @@
     }
 }
 
-/// Two operators apply number 1 with different content through different members at the same time.
-/// The log puts one before the other: that one is accepted, and the other is told the digest of what
-/// was accepted, so it can see that it lost the race and to what.
+/// Two operators concurrently apply number 1 with different content through different members. Exactly one
+/// is accepted, and the other gets a conflict with the accepted digest.
 #[test]
 fn of_two_operators_with_one_number_exactly_one_wins() {
     let group = Group::started(|_| {});
@@ -58,11 +56,14 @@
     let mut first = group.client(0, Role::Operator, "op-1");
     let mut second = group.client(1, Role::Operator, "op-2");
 
-    let first_id = first.begin_propose(&Op::ApplyConfig(reqs[0].clone()));
-    let second_id = second.begin_propose(&Op::ApplyConfig(reqs[1].clone()));
-    let replies = [first.end_propose(first_id), second.end_propose(second_id)];
+    let first_id = first.start_propose(&Op::ApplyConfig(reqs[0].clone()));
+    let second_id = second.start_propose(&Op::ApplyConfig(reqs[1].clone()));
+    let replies = [
+        first.finish_propose(first_id),
+        second.finish_propose(second_id),
+    ];
 
-    // An answer that was lost in an election is asked for again, as an operator does.
+    // A reply lost in an election is requested again, as by an operator.
     let [first_reply, second_reply] = replies.map(|reply| reply.ok().map(config_reply));
     let replies = [
         first_reply.unwrap_or_else(|| first.apply(reqs[0].clone())),
@@ -84,11 +85,10 @@
     );
 }
 
-/// An operator loses the answer to its change and sends it again, also through another member and
-/// after a later change. Every resend gets the answer of the first; a lower number that was never
-/// accepted is refused.
+/// An operator resends a change, also through other members and after a later change. Every resend gets
+/// the reply of the first; a lower number that was never accepted is refused.
 #[test]
-fn a_change_that_is_sent_again_gets_the_same_answer() {
+fn a_resent_change_gets_the_same_reply() {
     let group = Group::started(|_| {});
     let req = manifest(2, &["bistro"]);
     let mut operator = group.client(0, Role::Operator, "op");
@@ -109,11 +109,10 @@
     assert_that!(lower, eq(&ConfigReply::Stale { accepted: 3 }));
 }
 
-/// A member is cut off while the others accept configuration 2. A host without a state connects to
-/// it and must not be put on configuration 1, which the member still has: the member can't confirm
-/// it, so it says that it has no quorum, and sends nothing. A host that has 2 in force keeps it.
+/// A member is partitioned while the others accept configuration 2. A host without a configuration
+/// connects to it and must not get configuration 1: the member responds that it has no quorum.
 #[test]
-fn a_member_that_is_cut_off_confirms_no_configuration() {
+fn a_partitioned_member_confirms_no_configuration() {
     let mut group = Group::started(|_| {});
     let mut operator = group.client(0, Role::Operator, "op");
     operator.accept(manifest(1, &["bistro"]));
@@ -126,13 +125,13 @@
     group.kill(2);
     let mut operator = group.client(group.wait_for_leader(), Role::Operator, "op");
     operator.accept(manifest(2, &["diner"]));
-    let mut cut_off = group.config(2);
-    cut_off.listen = free_address();
-    for member in &mut cut_off.members {
+    let mut partitioned = group.config(2);
+    partitioned.listen = free_address();
+    for member in &mut partitioned.members {
         member.address = free_address();
     }
-    group.members[2].address = cut_off.listen;
-    group.start_with(2, cut_off);
+    group.members[2].address = partitioned.listen;
+    group.start_with(2, partitioned);
 
     let mut entry = group.client(2, Role::Entry, "e1");
     entry.beat(0);
@@ -140,13 +139,12 @@
     entry.beat(0);
     let refused = entry.propose(&Op::Batch(Vec::new()));
     assert_that!(refused, err(eq(&ProposeError::NoQuorum)));
-    let was_sent_one = entry.seen.iter().any(|m| matches!(m, FromRelay::Config(_)));
-    assert_that!(was_sent_one, eq(false));
+    let has_received_config = entry.seen.iter().any(|m| matches!(m, FromRelay::Config(_)));
+    assert_that!(has_received_config, eq(false));
 }
 
-/// A host without a configuration asks for one and gets it confirmed. It reports it in force, and is
-/// sent what changes when the next one is accepted, without asking. It does not report that one in
-/// force, as if the delta did not fit, so the whole follows.
+/// A host queries its first configuration and then gets the next one as a delta. It doesn't report that
+/// one in force, as if the delta did not apply, so the full configuration follows.
 #[test]
 fn a_host_that_is_behind_is_sent_the_configuration() {
     let group = Group::started(|_| {});
@@ -168,17 +166,17 @@
     let result = delta.apply(&first).expect("it fits").to_body();
     assert_that!(result, eq(&second.body));
 
-    let whole = entry.wait_for(|message| match message {
+    let full = entry.wait_for(|message| match message {
         FromRelay::Config(config) => Some(config.body.clone()),
         _ => None,
     });
-    assert_that!(whole, eq(&second.body));
+    assert_that!(full, eq(&second.body));
 }
 
-/// A manifest that is none, or bears another number than the request, is refused by every member,
-/// since each host would refuse it after it was accepted.
+/// Guards against accepting a body that every host refuses: an invalid manifest, or one with another
+/// number than its request.
 #[test]
-fn a_body_that_is_no_manifest_is_refused_before_it_is_proposed() {
+fn an_invalid_manifest_is_refused_before_it_is_proposed() {
     let group = Group::started(|_| {});
     let mut operator = group.client(0, Role::Operator, "op");
     let mut req = manifest(1, &["bistro"]);
--- a/tests/testsuite/control/disk.rs
+++ b/tests/testsuite/control/disk.rs
@@ -1,4 +1,4 @@
-//! Disks that fail under a running member.
+//! Disk failures of a running member.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -16,14 +16,14 @@
 /// A group whose first member's disk fails with `verdict` once the switch is on.
 fn group_with_failing_disk(
     verdict: Verdict,
-    wanted: fn(FileOp<'_>) -> bool,
+    affects: fn(FileOp<'_>) -> bool,
 ) -> (Group, Arc<AtomicBool>) {
     let mut group = Group::new(|_: &mut ControlConfig| {});
     let fails = Arc::new(AtomicBool::new(false));
     let mut cfg = group.config(0);
     let switch = Arc::clone(&fails);
-    cfg.judge = Some(Box::new(move |op| {
-        if switch.load(Ordering::Relaxed) && wanted(op) {
+    cfg.fault_injector = Some(Box::new(move |op| {
+        if switch.load(Ordering::Relaxed) && affects(op) {
             verdict
         } else {
             Verdict::Proceed
@@ -36,12 +36,12 @@
     (group, fails)
 }
 
-/// What the first member ends with when the next change comes; the others must accept it.
-fn end_of_first_member(group: &mut Group, fails: &AtomicBool) -> ControlError {
+/// Makes a change and returns the error that stops the first member; the others must accept the change.
+fn stop_error_of_first_member(group: &mut Group, fails: &AtomicBool) -> ControlError {
     let mut operator = group.client(1, Role::Operator, "op");
     operator.accept(manifest(1, &["bistro"]));
     fails.store(true, Ordering::Relaxed);
-    // The first member may lead, and then the outcome is unknown at first.
+    // If the first member leads, the outcome is unknown at first.
     let req = manifest(2, &["diner"]);
     wait_until("the others accept the change", || {
         matches!(
@@ -50,18 +50,17 @@
         )
     });
     let handle = group.handles[0].take().expect("it was started");
-    wait_until("the first member ends by itself", || handle.is_finished());
-    handle.join().expect_err("it ends for a reason")
+    wait_until("the first member stops by itself", || handle.is_finished());
+    handle.join().expect_err("it stops with an error")
 }
 
-/// A sync of one member fails. What it wrote since the sync before may be lost, so it ends rather
-/// than acknowledge anything more; the change is accepted by the other two, and the member starts
-/// again from its folder with everything that was accepted.
+/// A sync of one member fails, so writes since the previous sync may be lost and it must stop. The other
+/// two accept the change, and the member restarts with all accepted configurations.
 #[test]
-fn a_failed_sync_ends_the_daemon_and_loses_nothing() {
+fn a_failed_sync_stops_the_daemon_without_data_loss() {
     let is_sync = |op: FileOp<'_>| matches!(op, FileOp::Sync { .. });
     let (mut group, fails) = group_with_failing_disk(Verdict::Fail(ErrorKind::Other), is_sync);
-    let error = end_of_first_member(&mut group, &fails);
+    let error = stop_error_of_first_member(&mut group, &fails);
     let is_failed_sync =
         |e: &ControlError| matches!(e, ControlError::Write(StorageError::SyncFailed { .. }));
     assert_that!(error, predicate(is_failed_sync));
@@ -72,13 +71,13 @@
     assert_that!(operator.confirmed_number(), eq(2));
 }
 
-/// The disk of one member is full in the middle of a write. The member ends; what was half written
-/// was never acknowledged, and is cut off when it starts again.
+/// The disk of one member becomes full during a write. The member stops; the partial write was never
+/// acknowledged and is truncated at the restart.
 #[test]
-fn a_full_disk_ends_the_daemon_and_loses_nothing() {
+fn a_full_disk_stops_the_daemon_without_data_loss() {
     let is_write = |op: FileOp<'_>| matches!(op, FileOp::Write { .. });
     let (mut group, fails) = group_with_failing_disk(Verdict::Short(5), is_write);
-    let error = end_of_first_member(&mut group, &fails);
+    let error = stop_error_of_first_member(&mut group, &fails);
     let is_full = |e: &ControlError| matches!(e, ControlError::Write(StorageError::Full { .. }));
     assert_that!(error, predicate(is_full));
 
--- a/tests/testsuite/control/group.rs
+++ b/tests/testsuite/control/group.rs
@@ -1,4 +1,4 @@
-//! A control group in one process on loopback, and clients that talk to it as hosts do.
+//! A control group in one process on loopback, and clients that connect to it as hosts do.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::path::PathBuf;
@@ -15,14 +15,14 @@
 
 use super::client::Client;
 
-/// Ends a test that hangs; no verdict depends on it.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+/// Fails a hanging test; passing tests don't depend on it.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until `condition` holds.
 pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let began = Instant::now();
+    let started = Instant::now();
     while !condition() {
-        assert!(began.elapsed() < PATIENCE, "never came true: {what}");
+        assert!(started.elapsed() < TIMEOUT, "timed out: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -109,7 +109,7 @@
     }
 
     pub(crate) fn start_with(&mut self, at: usize, cfg: ControlConfig) {
-        // Connections of the run before drain for a moment before its socket is closed.
+        // The previous run's connections drain for a moment before its socket is closed.
         wait_until("the address is free", || {
             UdpSocket::bind(cfg.listen).is_ok()
         });
@@ -127,29 +127,29 @@
         HostCx::new(identity, self.runtime.handle().clone())
     }
 
-    /// Ends a member at once, as a lost process does.
+    /// Stops a member at once, as if its process is lost.
     pub(crate) fn kill(&mut self, at: usize) {
         let handle = self.handles[at].take().expect("it runs");
         handle.kill();
-        handle.join().expect("it ends without an error");
+        handle.join().expect("it stops without an error");
     }
 
-    /// Ends a member gracefully.
+    /// Stops a member gracefully.
     pub(crate) fn stop(&mut self, at: usize) {
         let handle = self.handles[at].take().expect("it runs");
         handle.stop();
-        handle.join().expect("it ends without an error");
+        handle.join().expect("it stops without an error");
     }
 
     /// Waits until every running member knows the leader; returns its place.
     pub(crate) fn wait_for_leader(&self) -> usize {
-        self.wait_for_leader_but(self.members.len())
+        self.wait_for_leader_except(self.members.len())
     }
 
-    /// Waits until every running member knows the leader, except one that belongs to no group.
-    pub(crate) fn wait_for_leader_but(&self, outside: usize) -> usize {
+    /// Waits until every running member knows the leader, except for one outside the group.
+    pub(crate) fn wait_for_leader_except(&self, excluded: usize) -> usize {
         let running: Vec<_> = (0..self.members.len())
-            .filter(|at| self.handles[*at].is_some() && *at != outside)
+            .filter(|at| self.handles[*at].is_some() && *at != excluded)
             .collect();
         let mut clients: Vec<_> = running
             .iter()
@@ -185,27 +185,27 @@
             handle.kill();
         }
         for handle in self.handles.drain(..).flatten() {
-            let ended = handle.join();
+            let result = handle.join();
             if !std::thread::panicking() {
-                ended.expect("the daemon ends without an error");
+                result.expect("the daemon stops without an error");
             }
         }
     }
 }
 
-/// Numbers the loopback addresses that this process has used.
+/// Number of loopback addresses used by this process.
 static NEXT_ADDRESS: AtomicU32 = AtomicU32::new(0);
 
 /// An address on which nothing listens, and on which no other test will.
 ///
-/// Each is an IP number of its own: a port that is free now may be given to another test before the
-/// daemon binds it, or while the daemon restarts.
+/// Each has an IP address of its own, since another test could get a free port before the daemon binds it
+/// or while the daemon restarts.
 pub(crate) fn free_address() -> SocketAddr {
     let socket = UdpSocket::bind((own_ip(), 0)).expect("a socket");
     socket.local_addr().expect("an address")
 }
 
-/// The same for TCP.
+/// Like [`free_address`], but for TCP.
 pub(crate) fn free_tcp_address() -> SocketAddr {
     let listener = TcpListener::bind((own_ip(), 0)).expect("a socket");
     listener.local_addr().expect("an address")
--- a/tests/testsuite/control/hosts.rs
+++ b/tests/testsuite/control/hosts.rs
@@ -1,4 +1,4 @@
-//! What hosts hear of each other through their relays, with and without a quorum.
+//! Directory and service totals that hosts receive from their relays, with and without a quorum.
 
 use coltsfootnotch_state::{ApplyConfig, Op};
 use coltsfootnotch_types::prelude::*;
@@ -8,12 +8,12 @@
 use super::client::{Client, manifest};
 use super::group::{Group, host, wait_until};
 
-/// Waits until the relay names `wanted`.
-fn wait_for_host(client: &mut Client, wanted: &str) {
-    let wanted = host(wanted);
+/// Waits until the relay lists `expected`.
+fn wait_for_host(client: &mut Client, expected: &str) {
+    let expected = host(expected);
     client.wait_for(|message| match message {
         FromRelay::Directory { changed, .. } => {
-            changed.iter().any(|r| r.host == wanted).then_some(())
+            changed.iter().any(|r| r.host == expected).then_some(())
         }
         _ => None,
     });
@@ -23,7 +23,7 @@
     AccountName::new(name).expect("a name")
 }
 
-/// A report; `watched` are newly watched accounts with all that the host has reported of them.
+/// A service report; `watched` are newly watched accounts with the host's total reported service.
 fn service(seq: u64, served: &[(&str, u64)], watched: &[(&str, u64)]) -> ToRelay {
     let units = |(name, units): &(&str, u64)| (account(name), ServiceUnits(*units));
     ToRelay::Service(ServiceBatch {
@@ -34,22 +34,22 @@
     })
 }
 
-/// The first total of `wanted` that the relay tells from now on.
-fn next_total(client: &mut Client, wanted: &str) -> ServiceUnits {
-    let wanted = account(wanted);
+/// The next total of `expected` that the relay sends.
+fn next_total(client: &mut Client, expected: &str) -> ServiceUnits {
+    let expected = account(expected);
     client.wait_for(|message| match message {
         FromRelay::Totals { elsewhere } => elsewhere
             .iter()
-            .find(|(a, _)| *a == wanted)
+            .find(|(a, _)| *a == expected)
             .map(|(_, units)| *units),
         _ => None,
     })
 }
 
-/// Two of three control hosts are lost, so there is no quorum. An entry and a sidecar at the one that
-/// is left still find each other, and the sidecar's service is still counted.
+/// Two of three control hosts are lost, so there is no quorum. An entry and a sidecar at the remaining one
+/// still discover each other, and the sidecar's service is still counted.
 #[test]
-fn hosts_find_each_other_without_a_quorum() {
+fn hosts_discover_each_other_without_a_quorum() {
     let mut group = Group::started(|_| {});
     group.kill(1);
     group.kill(2);
@@ -67,10 +67,10 @@
     assert_that!(applied, eq(1));
 }
 
-/// Sidecars at different relays serve one account. Each is told what the others gave and not its own
-/// share; a batch that is sent again counts once.
+/// Sidecars at different relays serve one account. Each gets the total without its own service; a resent
+/// batch counts once.
 #[test]
-fn totals_are_those_of_the_other_hosts() {
+fn totals_exclude_the_receiving_host() {
     let group = Group::started(|_| {});
     let mut first = group.client(0, Role::Sidecar, "s1");
     let mut second = group.client(1, Role::Sidecar, "s2");
@@ -84,11 +84,10 @@
     while next_total(&mut second, "bistro") != ServiceUnits(40) {}
 }
 
-/// The relay of a sidecar is lost after it has taken the sidecar's service. At its new relay the
-/// sidecar is told what the others gave and not what it gave itself through the lost one: taken for
-/// service elsewhere it would count twice, and accounts served here would have to wait for it.
+/// Guards against counting service twice: a sidecar's relay is lost after recording its service, and the
+/// total from its new relay must still exclude that service.
 #[test]
-fn a_sidecar_that_turns_to_another_relay_is_not_told_its_own_service() {
+fn totals_exclude_a_sidecars_service_after_a_change_of_relay() {
     let mut group = Group::started(|_| {});
     let mut other = group.client(1, Role::Sidecar, "s2");
     other.beat(0);
@@ -106,11 +105,10 @@
     while next_total(&mut other, "bistro") != ServiceUnits(41) {}
 }
 
-/// A sidecar's report overtakes its first heartbeat at a new relay. The report names the account that
-/// it watches only once, so it is not acknowledged until the relay knows the host, and then the total
-/// of the other sidecar is told.
+/// A sidecar's report arrives before its first heartbeat at a new relay. It lists the watched account only
+/// once, so it must not be acknowledged until the relay has a heartbeat of the host.
 #[test]
-fn a_report_before_the_first_heartbeat_is_asked_for_again() {
+fn a_report_before_the_first_heartbeat_is_not_acknowledged() {
     let group = Group::started(|_| {});
     let mut other = group.client(0, Role::Sidecar, "s2");
     other.beat(0);
@@ -126,8 +124,8 @@
     while next_total(&mut sidecar, "bistro") != ServiceUnits(9) {}
 }
 
-/// A stolen key of one host sends a heartbeat in the name of another. It is refused and counted, and
-/// nobody is told of the host.
+/// A stolen key of one host is used for a heartbeat in the name of another, which is refused and not
+/// listed.
 #[test]
 fn a_heartbeat_in_the_name_of_another_host_is_refused() {
     let group = Group::started(|_| {});
@@ -146,10 +144,9 @@
     assert_that!(hosts.iter().any(|h| h["host"] == "e2"), eq(false));
 }
 
-/// An entry's key tries to put a configuration in force, and a sidecar's to write a booking. The
-/// daemon closes the connection without proposing either.
+/// Proposals that a role is not permitted to make close the connection and are not proposed.
 #[test]
-fn a_role_may_propose_only_what_is_its_own() {
+fn a_role_can_propose_only_its_permitted_operations() {
     let group = Group::started(|_| {});
     let apply: ApplyConfig = manifest(1, &["bistro"]);
     let cases = [
@@ -159,15 +156,15 @@
     ];
     for (role, op) in cases {
         let mut client = group.client(0, role, "h1");
-        client.begin_propose(&op);
+        client.start_propose(&op);
         assert_that!(client.is_closed(), eq(true), "{role}");
     }
     let mut operator = group.client(0, Role::Operator, "op");
     assert_that!(operator.confirmed_number(), eq(0));
 }
 
-/// A control host is lost. The others report it as gone as soon as its connections are, so whoever
-/// waits for a configuration to be in force everywhere does not wait for it.
+/// A lost control host is reported as gone when its connections close, and doesn't count as behind the
+/// newest configuration.
 #[test]
 fn a_lost_control_host_is_reported_as_gone() {
     let mut group = Group::started(|_| {});
--- a/tests/testsuite/control/load.rs
+++ b/tests/testsuite/control/load.rs
@@ -1,11 +1,13 @@
-//! Decisions of the control role under load and without a leader, apart from any network.
+//! Batching, request deadlines and configuration deltas of the control role, without a network.
 
 use std::time::Duration;
 
 use coltsfootnotch::daemon::control::batcher::{Batcher, split};
 use coltsfootnotch::daemon::control::config_push::ConfigPush;
-use coltsfootnotch::daemon::control::packet::{Answer, Ask};
-use coltsfootnotch::daemon::control::request_table::{Origin, Place, RequestId, RequestTable};
+use coltsfootnotch::daemon::control::packet::{LeaderRequest, LeaderResponse};
+use coltsfootnotch::daemon::control::request_table::{
+    Origin, RequestId, RequestState, RequestTable,
+};
 use coltsfootnotch_fabric::LinkId;
 use coltsfootnotch_manifest::{Manifest, ManifestDelta};
 use coltsfootnotch_state::{
@@ -30,7 +32,7 @@
     }
 }
 
-/// A reply by which the write that it answers can be told.
+/// A reply that identifies its write.
 fn reply_to(op: &LedgerOp) -> LedgerReply {
     let Record::Close(close) = &op.write else {
         panic!("only closes are written here");
@@ -52,10 +54,10 @@
     }
 }
 
-/// A burst of 1,000 bookings arrives while the first is in flight. The first goes at once and alone,
-/// since nothing was in flight; the others wait for it and take two entries of the log, not 999.
+/// A burst of 1,000 bookings arrives. The first is proposed at once and alone; the others wait for it and
+/// share two log entries.
 #[test]
-fn a_burst_goes_in_few_batches_and_a_lone_write_at_once() {
+fn a_burst_is_proposed_in_few_batches_and_a_single_write_at_once() {
     let mut batcher = Batcher::default();
     let mut sizes = Vec::new();
     for number in 0..1_000 {
@@ -65,7 +67,7 @@
         }
     }
     loop {
-        batcher.landed();
+        batcher.finish_batch();
         match batcher.next_batch() {
             Some((_, op)) => sizes.push(writes_of(&op).len()),
             None => break,
@@ -74,8 +76,8 @@
     assert_that!(sizes, elements_are![eq(&1), eq(&512), eq(&487)]);
 }
 
-/// Writes of many requests share a batch, some of them grouped by their hosts. Each request gets the
-/// replies to its own writes: crossed, a caller would be told the outcome of another's booking.
+/// Guards against mixed-up replies: requests share a batch, some with several writes, and each gets the
+/// replies to its own writes.
 #[test]
 fn each_request_of_a_batch_gets_the_replies_to_its_own_writes() {
     let mut batcher = Batcher::default();
@@ -98,10 +100,10 @@
     assert_that!(split, eq(&expected));
 }
 
-/// The leader loses its office with a batch in flight and writes behind it. Those were not proposed
-/// and may go to the next leader; when this member leads again it does not wait for the lost batch.
+/// A leader steps down with a batch in flight and further writes queued. The queued writes were not
+/// proposed and are returned; the lost batch doesn't block later ones.
 #[test]
-fn a_leader_that_steps_down_gives_back_what_it_did_not_propose() {
+fn a_leader_that_steps_down_returns_unproposed_writes() {
     let mut batcher = Batcher::default();
     batcher.push_one(RequestId(1), write(1));
     assert_that!(batcher.next_batch().is_some(), eq(true));
@@ -111,18 +113,18 @@
     assert_that!(batcher.next_batch().is_some(), eq(true));
 }
 
-/// There is no leader and none is elected. A burst of bookings is refused as not proposed once a
-/// leader should have been there, and not before; what comes over the bound is refused at once.
+/// Without a leader, requests are refused as not proposed after the leader timeout and not before. Requests
+/// over the limit are refused at once.
 #[test]
 fn without_a_leader_requests_wait_a_bounded_time_and_number() {
     const BURST: u64 = 20_000;
     let mut table = RequestTable::default();
-    let refused = Answer::Proposed(Err(ProposeError::NoQuorum));
+    let refused = LeaderResponse::Proposed(Err(ProposeError::NoQuorum));
     let mut refused_at_once = 0;
     for id in 0..BURST {
         let origin = Origin::Propose(LinkId(1), id);
-        if let Err(answer) = table.open(Duration::ZERO, origin, Ask::Propose(vec![1])) {
-            assert_that!(answer, eq(&refused));
+        if let Err(response) = table.open(Duration::ZERO, origin, LeaderRequest::Propose(vec![1])) {
+            assert_that!(response, eq(&refused));
             refused_at_once += 1;
         }
     }
@@ -130,45 +132,51 @@
     assert_that!(table.open_count(), le(16_384));
     assert_that!(table.expire(Duration::from_secs(1)), len(eq(0)));
     let late = table.expire(Duration::from_secs(2));
-    assert_that!(late.iter().all(|(_, answer)| *answer == refused), eq(true));
+    assert_that!(
+        late.iter().all(|(_, response)| *response == refused),
+        eq(true)
+    );
     assert_that!(table.open_count(), eq(0));
 }
 
-/// A proposal was sent to the leader and the connection broke. It may have been committed, so the
-/// host is told that the outcome is unknown, and never that it was not proposed.
+/// The connection to the leader breaks after a proposal was forwarded. It may be committed, so its outcome
+/// is unknown and must not be reported as not proposed.
 #[test]
-fn a_proposal_that_was_under_way_is_unknown_and_not_refused() {
+fn a_proposal_in_progress_has_an_unknown_outcome() {
     let mut table = RequestTable::default();
     let origin = Origin::Propose(LinkId(1), 1);
     let id = table
-        .open(Duration::ZERO, origin, Ask::Propose(vec![1]))
-        .expect("room");
-    table.put(Duration::ZERO, id, Place::Sent(LinkId(9)));
-    assert_that!(table.sent_over(LinkId(9)), elements_are![eq(&id)]);
-    let (_, answer) = table.lose(id).expect("it is open");
-    assert_that!(answer, eq(&Answer::Proposed(Err(ProposeError::Unknown))));
+        .open(Duration::ZERO, origin, LeaderRequest::Propose(vec![1]))
+        .expect("capacity");
+    table.set_state(Duration::ZERO, id, RequestState::Forwarded(LinkId(9)));
+    assert_that!(table.forwarded_over(LinkId(9)), elements_are![eq(&id)]);
+    let (_, response) = table.abort(id).expect("it is open");
+    assert_that!(
+        response,
+        eq(&LeaderResponse::Proposed(Err(ProposeError::Unknown)))
+    );
 }
 
-/// Members take each other for the leader in turn during an election. A request that is sent back
-/// each time gets no more time for that: its caller hears in bounded time.
+/// Guards against an unbounded wait during an election, when members take each other for the leader: a
+/// request that is repeatedly returned keeps its deadline.
 #[test]
-fn a_request_that_is_sent_round_gets_no_more_time() {
+fn a_request_that_returns_to_waiting_keeps_its_deadline() {
     let mut table = RequestTable::default();
     let origin = Origin::Propose(LinkId(1), 1);
     let id = table
-        .open(Duration::ZERO, origin, Ask::Propose(vec![1]))
-        .expect("room");
+        .open(Duration::ZERO, origin, LeaderRequest::Propose(vec![1]))
+        .expect("capacity");
     for ms in (0..1_500).step_by(100) {
         let now = Duration::from_millis(ms);
-        table.put(now, id, Place::Sent(LinkId(9)));
-        table.put(now, id, Place::Waiting);
+        table.set_state(now, id, RequestState::Forwarded(LinkId(9)));
+        table.set_state(now, id, RequestState::Waiting);
     }
     let late = table.expire(Duration::from_millis(1_500));
     assert_that!(late, len(eq(1)));
 }
 
-/// Ten changes in a burst. A host that has one of the last few in force gets a delta that gives the
-/// newest; one that is further behind gets none, and so the whole. What is kept stays bounded.
+/// After ten changes, a host with one of the last few configurations gets a delta to the newest; one
+/// further behind gets none, so that the number of stored bases is bounded.
 #[test]
 fn a_host_a_few_changes_behind_gets_a_delta_to_the_newest() {
     let mut push = ConfigPush::default();
--- a/tests/testsuite/control/members.rs
+++ b/tests/testsuite/control/members.rs
@@ -1,4 +1,4 @@
-//! Members that come, go and are replaced, and what their data folders lose.
+//! Replacement, restart and data loss of members.
 
 use std::fs;
 use std::time::Duration;
@@ -12,9 +12,8 @@
 use super::client::manifest;
 use super::group::{Group, host, wait_until};
 
-/// The disk of a member is lost and the host comes back empty. It is a new member, not the old one:
-/// it counts for nothing until an operator admits it. Then a second host is lost, right after the
-/// repair: the repaired member has everything, so nothing that was accepted is lost.
+/// A host that lost its disk returns as a new member, which has no vote until an operator admits it. A
+/// second host is lost right after that; nothing accepted is lost.
 #[test]
 fn a_member_whose_disk_was_lost_is_replaced_and_then_another_is_lost() {
     let mut group = Group::started(|_| {});
@@ -22,15 +21,15 @@
     operator.accept(manifest(1, &["bistro"]));
 
     group.kill(2);
-    fs::remove_dir_all(group.data(2)).expect("the folder goes");
+    fs::remove_dir_all(group.data(2)).expect("the folder is removed");
     group.start(2);
-    let leader = group.wait_for_leader_but(2);
+    let leader = group.wait_for_leader_except(2);
     let mut operator = group.client(leader, Role::Operator, "op");
     let c3 = host("c3");
-    wait_until("the newcomer is connected", || {
+    wait_until("the new member is connected", || {
         operator.admit(&c3, Some(&c3)) != Err(MembersError::NotConnected { host: c3.clone() })
     });
-    wait_until("the old member is gone", || {
+    wait_until("the old member is removed", || {
         let group = &operator.status()["group"];
         group["voters"].as_array().map(Vec::len) == Some(3)
             && group["learners"].as_array().map(Vec::len) == Some(0)
@@ -44,17 +43,17 @@
     assert_that!(accepted, matches_pattern!(ConfigReply::Accepted { .. }));
 }
 
-/// Two members lose their disks and come back empty. The third remembers, but can't form a majority
-/// with members that it does not know. Nothing is founded anew: configuration 1 is never replaced by
-/// an empty state, and changes are refused.
+/// Two members lose their disks and return empty. The third can't form a majority with the new members.
+/// No second group is bootstrapped, so configuration 1 is never replaced by an empty state, and changes
+/// are refused.
 #[test]
-fn members_that_lost_their_disks_found_no_second_group() {
+fn members_that_lost_their_disks_bootstrap_no_second_group() {
     let mut group = Group::started(|_| {});
     let mut operator = group.client(0, Role::Operator, "op");
     operator.accept(manifest(1, &["bistro"]));
     for at in [0, 1] {
         group.kill(at);
-        fs::remove_dir_all(group.data(at)).expect("the folder goes");
+        fs::remove_dir_all(group.data(at)).expect("the folder is removed");
     }
     group.start(0);
     group.start(1);
@@ -66,11 +65,11 @@
     assert_that!(status["group"]["last"].as_u64(), some(eq(0)));
 }
 
-/// Every control host has lost its disk, and an entry that kept running has configuration 5 in force:
-/// there was a group. None is founded, or the entry's next configuration could be number 1. When the
-/// entry is gone nothing remembers any more, and the group is founded.
+/// All control hosts have lost their disks, but a running entry has configuration 5 in force, so a group
+/// existed. No group is bootstrapped until the entry has disconnected, since its next configuration could
+/// have a lower number.
 #[test]
-fn no_group_is_founded_while_a_host_has_a_configuration_in_force() {
+fn no_group_is_bootstrapped_while_a_host_has_a_configuration_in_force() {
     let mut group = Group::new(|_| {});
     group.start(0);
     let mut entry = group.client(0, Role::Entry, "e1");
@@ -88,10 +87,10 @@
     group.wait_for_leader();
 }
 
-/// A graceful stop of the leader hands the leadership over first, so a change sent to another member
-/// at that moment is accepted.
+/// A graceful stop of the leader transfers the leadership first, so a concurrent change at another member
+/// is accepted.
 #[test]
-fn a_planned_stop_of_the_leader_hands_over() {
+fn a_graceful_stop_of_the_leader_transfers_the_leadership() {
     let mut group = Group::started(|_| {});
     let leader = group.wait_for_leader();
     let other = (leader + 1) % 3;
@@ -101,10 +100,10 @@
     assert_that!(accepted, matches_pattern!(ConfigReply::Accepted { .. }));
 }
 
-/// After 500 changes a member restarts. It replays only the entries since its last snapshot, and its
-/// folder holds the snapshot and those, not the 500.
+/// A member that restarts after 500 changes replays only the entries since its last snapshot, and its
+/// folder contains only these and the snapshot.
 #[test]
-fn a_restart_after_500_changes_replays_what_follows_the_snapshot() {
+fn a_restart_after_500_changes_replays_only_entries_after_the_snapshot() {
     const SNAPSHOT_ENTRIES: u64 = 100;
     let mut group = Group::started(|cfg| cfg.core.snapshot_entries = SNAPSHOT_ENTRIES);
     let mut operator = group.client(0, Role::Operator, "op");
@@ -125,8 +124,8 @@
     assert_that!(held, le(2 * SNAPSHOT_ENTRIES));
 }
 
-/// A bit of the log that was synced has flipped. The member does not start: it would come back with
-/// less than it acknowledged.
+/// A flipped bit in a synced log entry: the member must not start, since acknowledged entries could be
+/// missing.
 #[test]
 fn a_member_with_a_corrupt_log_does_not_start() {
     let mut group = Group::started(|_| {});
--- a/tests/testsuite/control/processes.rs
+++ b/tests/testsuite/control/processes.rs
@@ -1,4 +1,4 @@
-//! Control hosts as real processes that are ended by SIGKILL.
+//! Control hosts as real processes that are killed by SIGKILL.
 
 use std::fs;
 use std::path::PathBuf;
@@ -42,7 +42,7 @@
             running: members.iter().map(|_| None).collect(),
             members,
         };
-        // All of them before the first start: they share the authority's file.
+        // All files are written before the first start, since the authority's file is shared.
         for at in 0..processes.members.len() {
             processes.write_files(at);
         }
@@ -118,11 +118,11 @@
         self.running[at] = Some(child);
     }
 
-    /// SIGKILL: the process gets no chance to write or to say anything.
+    /// Kills the process by SIGKILL, without a graceful stop.
     fn kill(&mut self, at: usize) {
         let mut child = self.running[at].take().expect("it runs");
         child.kill().expect("it is killed");
-        child.wait().expect("it has ended");
+        child.wait().expect("it has exited");
     }
 
     fn client(&self, at: usize, role: Role, name: &str) -> Client {
@@ -137,9 +137,9 @@
         Client::connect(self.runtime.handle(), &credentials, &self.members[at])
     }
 
-    /// The leader, as the member at `asked` knows it.
-    fn leader(&self, asked: usize) -> usize {
-        let mut client = self.client(asked, Role::Operator, "probe");
+    /// The leader known to the member at `at`.
+    fn leader(&self, at: usize) -> usize {
+        let mut client = self.client(at, Role::Operator, "probe");
         let mut leader = None;
         wait_until("there is a leader", || {
             let name = client.status()["group"]["leader"].as_str().map(host);
@@ -185,55 +185,55 @@
     ))
 }
 
-/// Changes and intents come all the time, through the member at `at`; everything in `numbers` is
-/// acknowledged when this returns.
-fn work(processes: &Processes, at: usize, numbers: std::ops::Range<u64>) {
+/// Proposes changes and intents through the member at `at`; all of `numbers` are acknowledged when this
+/// returns.
+fn propose_all(processes: &Processes, at: usize, numbers: std::ops::Range<u64>) {
     let mut operator = processes.client(at, Role::Operator, "op");
     let mut entry = processes.client(at, Role::Entry, "e1");
     for number in numbers {
         let change = Op::ApplyConfig(manifest(number, &["bistro"]));
-        let accepted = operator.insist(&change);
+        let accepted = operator.propose_until_answered(&change);
         assert_that!(
             accepted,
             pat!(Reply::Config(pat!(ConfigReply::Accepted { .. })))
         );
-        let started = entry.insist(&intent(&format!("k{number}"), number));
+        let started = entry.propose_until_answered(&intent(&format!("k{number}"), number));
         assert_that!(started, eq(&Reply::Ledger(LedgerReply::Started)));
     }
 }
 
-/// The leader is killed, and after it has come back a second host, while changes and bookings go on;
-/// each comes back with its folder. What was acknowledged at any time is there at the end, at every
-/// member: each change is answered as accepted again, and each booked key still names its attempt, so
-/// a second run of it is refused.
+/// The leader is killed, and after its restart a second host, during changes and bookings; both keep their
+/// data folders. At the end every member has everything acknowledged: each change is accepted again, and
+/// each booked key still has its attempt, so a second run is refused.
 #[test]
 fn nothing_acknowledged_is_lost_when_the_leader_and_a_second_host_are_killed() {
     let mut processes = Processes::started();
     let leader = processes.leader(0);
     let (second, third) = ((leader + 1) % 3, (leader + 2) % 3);
-    work(&processes, second, 1..6);
+    propose_all(&processes, second, 1..6);
     processes.kill(leader);
-    work(&processes, second, 6..11);
+    propose_all(&processes, second, 6..11);
     processes.start(leader);
     processes.kill(second);
-    work(&processes, third, 11..16);
+    propose_all(&processes, third, 11..16);
     processes.start(second);
-    work(&processes, leader, 16..18);
+    propose_all(&processes, leader, 16..18);
 
     for at in 0..3 {
         let mut operator = processes.client(at, Role::Operator, "op");
         let mut entry = processes.client(at, Role::Entry, "e1");
         for number in 1..18 {
             let change = Op::ApplyConfig(manifest(number, &["bistro"]));
-            let again = operator.insist(&change);
+            let again = operator.propose_until_answered(&change);
             assert_that!(
                 again,
                 pat!(Reply::Config(pat!(ConfigReply::Accepted { .. })))
             );
             let other_attempt = 1_000 + number;
-            let refused = entry.insist(&intent(&format!("k{number}"), other_attempt));
+            let refused =
+                entry.propose_until_answered(&intent(&format!("k{number}"), other_attempt));
             let Reply::Ledger(LedgerReply::InDoubt { attempt, .. }) = refused else {
-                panic!("key {number} could run again: {refused:?}");
+                panic!("key {number} is not booked: {refused:?}");
             };
             assert_that!(attempt.number, eq(number));
         }
--- a/tests/testsuite/control_fleet/disk.rs
+++ b/tests/testsuite/control_fleet/disk.rs
@@ -1,4 +1,4 @@
-//! The disk of a simulated control host: what was synced outlives the process, what was not may be lost.
+//! A simulated disk: synced writes survive the process, others may be lost.
 
 use coltsfootnotch_consensus::{MemberId, Persist, PersistSeq, Recovered};
 use rand::Rng;
@@ -7,9 +7,9 @@
 /// The disk of a simulated control host.
 pub(crate) struct Disk {
     content: Recovered,
-    /// Work under way, each with the millisecond at which its sync ends.
+    /// Unsynced writes, each with the millisecond at which its sync completes.
     queue: Vec<(u64, Persist)>,
-    /// No sync ends before this millisecond.
+    /// No sync completes before this millisecond.
     pub(crate) stalls_until: u64,
 }
 
@@ -22,16 +22,16 @@
         }
     }
 
-    /// What a process finds that starts now.
+    /// The content that a starting process recovers.
     pub(crate) fn content(&self) -> &Recovered {
         &self.content
     }
 
-    pub(crate) fn persist(&mut self, ends_ms: u64, persist: Persist) {
-        self.queue.push((ends_ms, persist));
+    pub(crate) fn persist(&mut self, due_ms: u64, persist: Persist) {
+        self.queue.push((due_ms, persist));
     }
 
-    /// The last work whose sync has ended.
+    /// Applies the completed writes; returns the last one.
     pub(crate) fn synced(&mut self, now_ms: u64) -> Option<PersistSeq> {
         if now_ms < self.stalls_until {
             return None;
@@ -45,10 +45,10 @@
         last
     }
 
-    /// The process ends. Work that was under way may have reached the disk in part.
+    /// Interrupts the process. A random prefix of the unsynced writes reaches the disk.
     pub(crate) fn interrupt(&mut self, rng: &mut StdRng) {
-        let reached = rng.random_range(0..=self.queue.len());
-        for (_, persist) in self.queue.drain(..).take(reached) {
+        let written = rng.random_range(0..=self.queue.len());
+        for (_, persist) in self.queue.drain(..).take(written) {
             self.content.write(persist.work);
         }
     }
--- a/tests/testsuite/control_fleet/actions.rs
+++ b/tests/testsuite/control_fleet/effects.rs
@@ -1,4 +1,4 @@
-//! What the log of a simulated control host wants done.
+//! Handles the actions of a simulated control host's consensus core.
 
 use coltsfootnotch_consensus::{Action, LogIndex, MemberId, Membership, Persist, RoleKind, Term};
 use rand::Rng;
@@ -12,8 +12,8 @@
             Action::Send { to, msg } => {
                 let from = self.hosts[index].member().clone();
                 let to = self.hosts.iter().position(|h| *h.member() == to);
-                let works = |to: &usize| self.links.works(self.end(index), self.end(*to));
-                if let Some(to) = to.filter(works) {
+                let is_up = |to: &usize| self.links.is_up(self.endpoint(index), self.endpoint(*to));
+                if let Some(to) = to.filter(is_up) {
                     self.send(to, Packet::Log { from, msg });
                 }
             }
@@ -36,17 +36,17 @@
                     process.applied = state.expect("it can be decoded");
                 }
             }
-            Action::Members { members } => self.tell_members(index, &members),
+            Action::Members { members } => self.record_members(index, &members),
             Action::Became {
                 role: RoleKind::Leader,
                 term,
                 ..
-            } => self.tell(format!("{index} leads in term {term}")),
+            } => self.record(format!("{index} leads in term {term}")),
             _ => {}
         }
     }
 
-    fn tell_members(&mut self, index: usize, members: &Membership) {
+    fn record_members(&mut self, index: usize, members: &Membership) {
         let place = |member: &MemberId| self.hosts.iter().position(|h| h.member() == member);
         let places = |members: &mut dyn Iterator<Item = &MemberId>| -> String {
             let places = members.map(|m| place(m).map_or("lost".to_owned(), |p| p.to_string()));
@@ -56,18 +56,18 @@
         let learners = places(&mut members.learners.keys());
         let leads = self.leader() == Some(index);
         if leads {
-            self.tell(format!("voters {voters}; learners {learners}"));
+            self.record(format!("voters {voters}; learners {learners}"));
         }
     }
 
     fn persist(&mut self, index: usize, persist: Persist) {
-        let ends = self.now_ms + self.rng.random_range(1..=SYNC_MS);
+        let due_ms = self.now_ms + self.rng.random_range(1..=SYNC_MS);
         let host = &mut self.hosts[index];
-        assert!(host.keeps_log, "a host without a disk persists nothing");
-        host.disk.persist(ends, persist);
+        assert!(host.has_log, "a host without a disk persists nothing");
+        host.disk.persist(due_ms, persist);
         let process = host.process.as_mut().expect("it runs");
         if std::mem::replace(&mut process.empty, false) {
-            self.say_hello(index);
+            self.send_hello(index);
         }
     }
 
@@ -76,7 +76,7 @@
         assert_eq!(
             at,
             process.last_applied.next(),
-            "entries come without a gap"
+            "entries are applied without gaps"
         );
         process.last_applied = at;
         let Some(data) = data else {
--- a/tests/testsuite/control_fleet/trouble.rs
+++ b/tests/testsuite/control_fleet/faults.rs
@@ -1,4 +1,4 @@
-//! What happens to simulated control hosts.
+//! Faults of simulated control hosts.
 
 use coltsfootnotch_consensus::{DiskId, MemberId};
 use rand::Rng;
@@ -6,7 +6,7 @@
 use super::{Disk, Fleet};
 
 impl Fleet {
-    /// The host loses power and has it again after `down_ms`.
+    /// The host loses power and restarts after `down_ms`.
     pub(crate) fn power_off(&mut self, place: usize, down_ms: u64) {
         let host = &mut self.hosts[place];
         host.process = None;
@@ -15,32 +15,33 @@
         self.proposed.retain(|(at, _), _| *at != place);
     }
 
-    /// The process is killed and started again after `down_ms`; its connections are reset.
+    /// The process is killed and restarts after `down_ms`; its connections are reset.
     pub(crate) fn kill(&mut self, place: usize, down_ms: u64) {
         self.power_off(place, down_ms);
         for other in 0..self.hosts.len() {
             if self.links.drop_link(place, other) {
-                self.lose_each_other(place, other);
+                self.disconnect(place, other);
             }
         }
     }
 
-    /// The host loses its disk, and comes back with an empty one after `down_ms`.
-    pub(crate) fn wipe(&mut self, place: usize, down_ms: u64) {
+    /// The host loses its disk and restarts with an empty one after `down_ms`.
+    pub(crate) fn wipe_disk(&mut self, place: usize, down_ms: u64) {
         self.power_off(place, down_ms);
         let disk = DiskId(self.rng.random());
         let host = &mut self.hosts[place];
         let name = host.member().host.clone();
-        host.kept.clear();
+        host.saved_addresses.clear();
         host.disk = Disk::empty(MemberId { host: name, disk });
         host.seeds.first_start = false;
     }
 
-    /// Hosts that run lose their disks, and with `all` the others their power; all are back after `down_ms`.
+    /// The running hosts in `wiped` lose their disks, and with `all` the others lose power; all restart after
+    /// `down_ms`.
     pub(crate) fn lose_disks(&mut self, wiped: &[usize], all: bool, down_ms: u64) {
         for place in self.running() {
             if wiped.contains(&place) {
-                self.wipe(place, down_ms);
+                self.wipe_disk(place, down_ms);
             } else if all {
                 self.power_off(place, down_ms);
             }
@@ -53,21 +54,21 @@
         (0..self.hosts.len()).filter(runs).collect()
     }
 
-    /// The host is gone for good.
-    pub(crate) fn lose_for_good(&mut self, place: usize) {
+    /// Removes the host for good.
+    pub(crate) fn remove(&mut self, place: usize) {
         self.power_off(place, 0);
         self.hosts[place].starts_ms = None;
     }
 
-    pub(crate) fn freeze(&mut self, place: usize, for_ms: u64) {
-        self.hosts[place].frozen_until = self.now_ms + for_ms;
+    pub(crate) fn pause(&mut self, place: usize, for_ms: u64) {
+        self.hosts[place].paused_until = self.now_ms + for_ms;
     }
 
     pub(crate) fn stall_disk(&mut self, place: usize, for_ms: u64) {
         self.hosts[place].disk.stalls_until = self.now_ms + for_ms;
     }
 
-    /// Cuts a host off from all others.
+    /// Partitions a host from all others.
     pub(crate) fn isolate(&mut self, place: usize) {
         for other in (0..self.hosts.len()).filter(|other| *other != place) {
             self.links.cut(place, other);
--- a/tests/testsuite/control_fleet/mod.rs
+++ b/tests/testsuite/control_fleet/mod.rs
@@ -1,15 +1,14 @@
-//! Whole fleets of control hosts in virtual time: processes, disks, connections and an operator.
+//! Simulates fleets of control hosts in virtual time: processes, disks, connections and an operator.
 //!
-//! Hosts find each other, found the group and change its members with the daemon's own code; the log is
-//! the real one. Hosts lose power, freeze, are cut off, lose their disk or go for good. A connection
-//! whose other end is silent is given up as late as the daemons give it up.
+//! Discovery, bootstrap, membership changes and the log are the daemon's own code. Hosts lose power,
+//! pause, are partitioned, lose their disks or are removed. Silent connections time out as in the daemon.
 
-mod actions;
 mod disk;
+mod effects;
+pub(crate) mod fault_run;
+mod faults;
 mod host;
 mod links;
-pub(crate) mod ordeal;
-mod trouble;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -24,20 +23,20 @@
 
 pub(crate) use self::disk::Disk;
 pub(crate) use self::host::{Hello, Host};
-use self::links::{End, Links};
+use self::links::{Endpoint, Links};
 
-/// Between two rounds of upkeep, as in the daemon.
-const UPKEEP_MS: u64 = 150;
-/// Longest time that a sync takes on a sound disk.
+/// Interval of maintenance rounds, as in the daemon.
+const MAINTENANCE_MS: u64 = 150;
+/// Longest time that a sync takes on a healthy disk.
 const SYNC_MS: u64 = 4;
-/// Longest way of a message.
+/// Longest delay of a message.
 const DELAY_MS: u64 = 8;
-/// Entries after which a snapshot is taken, few enough that every long run takes some.
+/// Entries after which a snapshot is taken; low, so that long runs take some.
 const SNAPSHOT_ENTRIES: u64 = 40;
-/// Between two configurations of the operator.
-const CONFIG_EVERY_MS: u64 = 250;
+/// Interval of the operator's configurations.
+const CONFIG_INTERVAL_MS: u64 = 250;
 
-/// What is under way between two hosts.
+/// A message between two hosts.
 enum Packet {
     Hello(Hello),
     Log { from: MemberId, msg: Message },
@@ -50,18 +49,18 @@
     pub(crate) hosts: Vec<Host>,
     cfg: CoreConfig,
     links: Links,
-    /// By due time and number of sending, with receiver.
+    /// By due time and send number, with the receiver.
     packets: BTreeMap<(u64, u64), (usize, Packet)>,
     sent: u64,
-    /// Configurations proposed and not yet known to be applied, by place in the log and leader.
+    /// Proposed configurations that are not applied yet, by leader and log index.
     proposed: BTreeMap<(usize, LogIndex), (Term, u64)>,
     next_number: u64,
     next_config_ms: u64,
     /// The highest configuration number that was acknowledged.
     pub(crate) acknowledged: u64,
-    pub(crate) groups_founded: usize,
-    /// What has happened, for the report of a failed run.
-    pub(crate) story: Vec<String>,
+    pub(crate) groups_bootstrapped: usize,
+    /// Events of the run, reported when it fails.
+    pub(crate) trace: Vec<String>,
 }
 
 pub(crate) fn ms(ms: u64) -> Duration {
@@ -88,26 +87,26 @@
             next_number: 1,
             next_config_ms: 0,
             acknowledged: 0,
-            groups_founded: 0,
-            story: Vec::new(),
+            groups_bootstrapped: 0,
+            trace: Vec::new(),
         }
     }
 
-    /// A fleet of `keepers` hosts with a disk that has a group and a configuration.
-    pub(crate) fn founded(seed: u64, keepers: u8) -> Self {
+    /// A fleet of `log_hosts` hosts with disks that has a group and a configuration.
+    pub(crate) fn bootstrapped(seed: u64, log_hosts: u8) -> Self {
         let mut fleet = Self::new(seed);
-        let seeds: Vec<_> = (1..=keepers.min(3)).map(address).collect();
-        for number in 1..=keepers {
+        let seeds: Vec<_> = (1..=log_hosts.min(3)).map(address).collect();
+        for number in 1..=log_hosts {
             fleet.add(number, &seeds, true, 0);
         }
         while fleet.acknowledged == 0 {
             fleet.step();
-            assert!(fleet.now_ms < 10_000, "a new fleet founds a group");
+            assert!(fleet.now_ms < 10_000, "a new fleet bootstraps a group");
         }
         fleet
     }
 
-    /// Adds a host with an empty disk whose process starts at `starts_ms`; its place.
+    /// Adds a host with an empty disk whose process starts at `starts_ms`; returns its place.
     pub(crate) fn add(
         &mut self,
         number: u8,
@@ -130,17 +129,17 @@
         let disk = DiskId(self.rng.random());
         let host = Host {
             address,
-            keeps_log: true,
+            has_log: true,
             seeds: Seeds {
                 addresses: seeds.to_vec(),
                 first_start,
             },
             disk: Disk::empty(MemberId { host, disk }),
-            kept: BTreeSet::new(),
+            saved_addresses: BTreeSet::new(),
             process: None,
             run: 0,
             starts_ms: Some(starts_ms),
-            frozen_until: 0,
+            paused_until: 0,
         };
         self.hosts.push(host);
         self.hosts.len() - 1
@@ -153,18 +152,18 @@
         }
     }
 
-    /// One millisecond.
+    /// Simulates one millisecond.
     pub(crate) fn step(&mut self) {
         self.now_ms += 1;
         self.start_due();
         self.deliver_due();
-        self.operate();
+        self.propose_config();
         for index in 0..self.hosts.len() {
-            if !self.hosts[index].is_awake(self.now_ms) {
+            if !self.hosts[index].is_running(self.now_ms) {
                 continue;
             }
-            if (self.now_ms + 7 * index as u64).is_multiple_of(UPKEEP_MS) {
-                self.upkeep(index);
+            if (self.now_ms + 7 * index as u64).is_multiple_of(MAINTENANCE_MS) {
+                self.maintain(index);
             }
             self.drive(index);
         }
@@ -186,7 +185,7 @@
                 break;
             }
             let (to, packet) = entry.remove();
-            if self.hosts[to].is_awake(self.now_ms) {
+            if self.hosts[to].is_running(self.now_ms) {
                 self.deliver(to, packet);
             }
         }
@@ -199,25 +198,25 @@
         };
         match packet {
             Packet::Hello(hello) => {
-                if process.hear(now, hello) {
-                    self.say_hello(to);
+                if process.on_hello(now, hello) {
+                    self.send_hello(to);
                 }
             }
             Packet::Log { from, msg } => process.core.step(now, &from, msg),
         }
     }
 
-    /// The operator proposes the next configuration to whoever leads.
-    fn operate(&mut self) {
+    /// The operator proposes the next configuration to the leader.
+    fn propose_config(&mut self) {
         if self.now_ms < self.next_config_ms {
             return;
         }
-        self.next_config_ms = self.now_ms + CONFIG_EVERY_MS;
+        self.next_config_ms = self.now_ms + CONFIG_INTERVAL_MS;
         let now = ms(self.now_ms);
         let number = self.next_number;
         for (index, host) in self.hosts.iter_mut().enumerate() {
-            let awake = host.is_awake(self.now_ms);
-            let Some(process) = host.process.as_mut().filter(|_| awake) else {
+            let is_running = host.is_running(self.now_ms);
+            let Some(process) = host.process.as_mut().filter(|_| is_running) else {
                 continue;
             };
             if let Ok(placed) = process.core.propose(now, number.to_le_bytes()) {
@@ -228,13 +227,13 @@
         }
     }
 
-    fn say_hello(&mut self, from: usize) {
+    fn send_hello(&mut self, from: usize) {
         let Some(process) = &self.hosts[from].process else {
             return;
         };
         let hello = process.hello();
         for to in 0..self.hosts.len() {
-            if self.links.works(self.end(from), self.end(to)) {
+            if self.links.is_up(self.endpoint(from), self.endpoint(to)) {
                 self.send(to, Packet::Hello(hello.clone()));
             }
         }
@@ -246,11 +245,11 @@
         self.packets.insert((due, self.sent), (to, packet));
     }
 
-    fn upkeep(&mut self, index: usize) {
-        self.watch_links(index);
+    fn maintain(&mut self, index: usize) {
+        self.check_links(index);
         self.dial(index);
         let now = ms(self.now_ms);
-        self.groups_founded += usize::from(self.hosts[index].found(now));
+        self.groups_bootstrapped += usize::from(self.hosts[index].bootstrap(now));
         if let Some(process) = &mut self.hosts[index].process {
             process.change_members(now);
         }
@@ -262,43 +261,47 @@
         let Some(process) = &mut host.process else {
             return;
         };
-        if let Some(addresses) = process.finding.to_keep(now).filter(|_| host.keeps_log) {
-            host.kept = addresses;
+        if let Some(addresses) = process
+            .discovery
+            .addresses_to_save(now)
+            .filter(|_| host.has_log)
+        {
+            host.saved_addresses = addresses;
         }
-        for address in process.finding.wanted(now) {
+        for address in process.discovery.addresses_to_dial(now) {
             let other = self.hosts.iter().position(|h| h.address == address);
             let Some(other) = other.filter(|other| *other != index) else {
                 continue;
             };
-            let (a, b) = (self.end(index), self.end(other));
+            let (a, b) = (self.endpoint(index), self.endpoint(other));
             if self.links.connect(self.now_ms, a, b) {
-                self.say_hello(index);
-                self.say_hello(other);
+                self.send_hello(index);
+                self.send_hello(other);
             }
         }
     }
 
-    fn end(&self, place: usize) -> End {
+    fn endpoint(&self, place: usize) -> Endpoint {
         let host = &self.hosts[place];
-        let run = host.is_awake(self.now_ms).then_some(host.run);
-        End { place, run }
+        let run = host.is_running(self.now_ms).then_some(host.run);
+        Endpoint { place, run }
     }
 
-    fn watch_links(&mut self, index: usize) {
+    fn check_links(&mut self, index: usize) {
         for other in (0..self.hosts.len()).filter(|other| *other != index) {
-            let (a, b) = (self.end(index), self.end(other));
-            if self.links.watch(self.now_ms, a, b) {
-                self.lose_each_other(index, other);
+            let (a, b) = (self.endpoint(index), self.endpoint(other));
+            if self.links.check(self.now_ms, a, b) {
+                self.disconnect(index, other);
             }
         }
     }
 
-    fn lose_each_other(&mut self, a: usize, b: usize) {
+    fn disconnect(&mut self, a: usize, b: usize) {
         let now = ms(self.now_ms);
         for (one, other) in [(a, b), (b, a)] {
             let other = self.hosts[other].member().host.clone();
             if let Some(process) = &mut self.hosts[one].process {
-                process.lose(now, &other);
+                process.on_disconnect(now, &other);
             }
         }
     }
@@ -320,9 +323,9 @@
         }
     }
 
-    /// Adds to the story.
-    pub(crate) fn tell(&mut self, what: impl Display) {
-        self.story.push(format!("{}: {what}", self.now_ms));
+    /// Adds an event to the trace.
+    pub(crate) fn record(&mut self, what: impl Display) {
+        self.trace.push(format!("{}: {what}", self.now_ms));
     }
 
     /// The host that leads in the highest term.
@@ -343,13 +346,13 @@
         Some(leader.newest())
     }
 
-    /// Runs until a configuration newer than all before is acknowledged; whether it was within `within_ms`.
-    pub(crate) fn accepts(&mut self, within_ms: u64) -> bool {
-        let wanted = self.next_number;
+    /// Runs until a new configuration is acknowledged; returns whether it was within `within_ms`.
+    pub(crate) fn accepts_config(&mut self, within_ms: u64) -> bool {
+        let expected = self.next_number;
         let until = self.now_ms + within_ms;
         while self.now_ms < until {
             self.step();
-            if self.acknowledged >= wanted {
+            if self.acknowledged >= expected {
                 return true;
             }
         }
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,12 +1,12 @@
 //! The daemons as a whole.
 
 mod bad_input;
+mod bootstrap_runs;
 mod commands;
 mod connections;
 mod control;
 mod control_fleet;
 mod demo;
-mod founding_runs;
 mod limits;
 mod load;
 mod member_runs;
--- a/tests/testsuite/seeded.rs
+++ b/tests/testsuite/seeded.rs
@@ -1,12 +1,14 @@
-//! Control hosts that find each other: when a group is founded.
+//! Bootstrap of a control group by hosts that discover each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use coltsfootnotch::daemon::control::founding::Founding;
+use coltsfootnotch::daemon::control::bootstrap::Bootstrap;
 use coltsfootnotch::daemon::control::packet::MemberHello;
 use coltsfootnotch::daemon::control::seeded::SeededHello;
-use coltsfootnotch::daemon::control::seeded::founding::{NotFounding, SeededFounding, Seen};
+use coltsfootnotch::daemon::control::seeded::bootstrap::{
+    BootstrapBlocked, ObservedHost, SeededBootstrap,
+};
 use coltsfootnotch_consensus::{Core, CoreConfig, DiskId, MemberId, Recovered};
 use coltsfootnotch_types::HostName;
 use googletest::prelude::*;
@@ -22,12 +24,12 @@
     SocketAddr::from(([10, 0, 0, last], 7400))
 }
 
-pub(crate) fn hello(own: u8, first_start: bool) -> SeededHello {
+pub(crate) fn hello(local: u8, first_start: bool) -> SeededHello {
     SeededHello {
-        address: address(own),
+        address: address(local),
         first_start,
         seeds: vec![address(1), address(2), address(3)],
-        keeps_log: true,
+        has_log: true,
         connected: Vec::new(),
     }
 }
@@ -42,73 +44,73 @@
     hello: SeededHello,
 }
 
-fn host(own: u8) -> Host {
+fn host(local: u8) -> Host {
     Host {
-        member: member(&format!("c{own}"), own.into()),
+        member: member(&format!("c{local}"), local.into()),
         empty: true,
-        hello: hello(own, true),
+        hello: hello(local, true),
     }
 }
 
-fn seen(host: &Host) -> Seen<'_> {
-    Seen {
+fn observed(host: &Host) -> ObservedHost<'_> {
+    ObservedHost {
         member: &host.member,
         empty: host.empty,
         hello: &host.hello,
     }
 }
 
-/// How many voters the group has that `own` founds with `others` in half a second, or why it founds none.
-fn founds(own: &Host, others: &[&Host]) -> Result<usize, NotFounding> {
-    let mut founding = SeededFounding::default();
-    let mut found = Err(NotFounding::Settling);
+/// Number of voters of the group that `local` bootstraps with `others` within half a second, or why it
+/// doesn't.
+fn bootstraps(local: &Host, others: &[&Host]) -> Result<usize, BootstrapBlocked> {
+    let mut bootstrap = SeededBootstrap::default();
+    let mut result = Err(BootstrapBlocked::TooRecent);
     for ms in (0..500).step_by(50) {
-        let others = others.iter().map(|h| seen(h));
-        let due = founding.due(at(ms), seen(own), others);
-        found = found.or(due.map(|m| m.voters.len()));
+        let others = others.iter().map(|h| observed(h));
+        let due = bootstrap.due(at(ms), observed(local), others);
+        result = result.or(due.map(|m| m.voters.len()));
     }
-    found
+    result
 }
 
 #[googletest::test]
-fn the_first_member_founds_once_all_seeds_are_there() {
+fn the_first_member_bootstraps_after_all_seeds_have_connected() {
     let (one, two, three) = (host(1), host(2), host(3));
-    expect_that!(founds(&one, &[&two, &three]), ok(eq(&3)));
-    let missing = NotFounding::NotHeard(address(3));
-    expect_that!(founds(&one, &[&two]), err(eq(&missing)));
-    let other = NotFounding::OtherFounder(one.member.clone());
-    expect_that!(founds(&two, &[&one, &three]), err(eq(&other)));
-    let newcomer = host(4);
-    expect_that!(founds(&one, &[&two, &three, &newcomer]), ok(eq(&3)));
-}
-
-/// No request is ever served: no configuration is accepted, since there is no group. The host with the
-/// lowest address asked the log to found it, and the log takes only the first member by name, which
-/// waited for the other. Whatever order names and addresses are in, exactly one host founds, and its log
-/// takes the same one for the founder.
+    expect_that!(bootstraps(&one, &[&two, &three]), ok(eq(&3)));
+    let missing = BootstrapBlocked::NotConnected(address(3));
+    expect_that!(bootstraps(&one, &[&two]), err(eq(&missing)));
+    let other = BootstrapBlocked::OtherMember(one.member.clone());
+    expect_that!(bootstraps(&two, &[&one, &three]), err(eq(&other)));
+    let new_member = host(4);
+    expect_that!(bootstraps(&one, &[&two, &three, &new_member]), ok(eq(&3)));
+}
+
+/// Guards against fleets without a group: if discovery and the log order hosts differently, each waits for
+/// another bootstrap member. For every order of names and addresses exactly one host bootstraps, and its
+/// log accepts it.
 #[googletest::test]
-fn one_host_founds_however_names_and_addresses_are_ordered() {
+fn one_host_bootstraps_for_every_order_of_names_and_addresses() {
     for count in 3..=5 {
         for names in permutations(count) {
             let seeds: Vec<_> = (1..=count).map(address).collect();
-            let hosts = names.iter().zip(1..).map(|(name, own)| {
-                let mut host = host(own);
-                host.member = member(&format!("c{name}"), u128::from(own));
+            let hosts = names.iter().zip(1..).map(|(name, local)| {
+                let mut host = host(local);
+                host.member = member(&format!("c{name}"), u128::from(local));
                 host.hello.seeds.clone_from(&seeds);
                 host
             });
             let hosts: Vec<_> = hosts.collect();
-            let founders = hosts.iter().filter(|own| {
-                let others: Vec<_> = hosts.iter().filter(|h| h.member != own.member).collect();
-                founds(own, &others).is_ok() && log_takes_founder(own, &hosts)
+            let bootstrap_members = hosts.iter().filter(|local| {
+                let others: Vec<_> = hosts.iter().filter(|h| h.member != local.member).collect();
+                bootstraps(local, &others).is_ok() && log_accepts_bootstrap(local, &hosts)
             });
-            expect_that!(founders.count(), eq(1), "names {names:?}");
+            expect_that!(bootstrap_members.count(), eq(1), "names {names:?}");
         }
     }
 }
 
-fn log_takes_founder(own: &Host, hosts: &[Host]) -> bool {
-    let recovered = Recovered::empty(own.member.clone());
+fn log_accepts_bootstrap(local: &Host, hosts: &[Host]) -> bool {
+    let recovered = Recovered::empty(local.member.clone());
     let cfg = CoreConfig::default();
     let mut core = Core::new(cfg, recovered, at(0), &mut rand::rng());
     let members = hosts.iter().map(|h| h.member.clone());
@@ -131,58 +133,59 @@
     all
 }
 
-/// Seeds may be hosts without a disk: they agree to the founding, and are no members.
+/// Seeds without a disk have to agree to the bootstrap, but are not members.
 #[googletest::test]
-fn seeds_without_a_disk_are_no_members() {
+fn seeds_without_a_disk_are_not_members() {
     let (mut one, two, three) = (host(1), host(2), host(3));
-    one.hello.keeps_log = false;
-    expect_that!(founds(&one, &[&two, &three]), err(anything()));
-    expect_that!(founds(&two, &[&one, &three]), ok(eq(&2)));
+    one.hello.has_log = false;
+    expect_that!(bootstraps(&one, &[&two, &three]), err(anything()));
+    expect_that!(bootstraps(&two, &[&one, &three]), ok(eq(&2)));
     expect_that!(
-        founds(&two, &[&three]),
+        bootstraps(&two, &[&three]),
         err(anything()),
         "all seeds have to agree"
     );
 }
 
-/// A host that finds the others by seeds has no list of control hosts. Taken for a list of which all
-/// members are here, the empty list made each of them found a group of its own, and one without a disk
-/// stopped at the first write.
+/// Guards against a host with seeds that treats its empty list of control hosts as complete and
+/// bootstraps a group of its own.
 #[googletest::test]
-fn a_host_that_is_not_listed_founds_no_group_by_the_list() {
+fn a_host_that_is_not_listed_bootstraps_no_listed_group() {
     let hello = MemberHello {
         member: member("c1", 1),
         listed: Vec::new(),
         empty: true,
         seeded: None,
     };
-    let mut founding = Founding::new(hello);
+    let mut bootstrap = Bootstrap::new(hello);
     for ms in (0..2_000).step_by(50) {
-        expect_that!(founding.due(at(ms), false), none());
+        expect_that!(bootstrap.due(at(ms), false), none());
     }
 }
 
-/// The acknowledged configuration would be forgotten. Two of three control hosts lose power and the
-/// third its disk; the empty one is back first, and is the first member. It must not found a second
-/// group, neither alone nor with an empty newcomer.
+/// Guards against the loss of acknowledged configurations: two of three control hosts lose power and the
+/// third its disk. The empty one returns first and must not bootstrap a second group.
 #[googletest::test]
-fn a_host_that_lost_its_disk_never_founds() {
+fn a_host_that_lost_its_disk_never_bootstraps() {
     let mut wiped = host(1);
     wiped.hello.first_start = false;
     let (two, three) = (host(2), host(3));
-    expect_that!(founds(&wiped, &[]), err(anything()));
-    let joins = NotFounding::NotFirstStart(address(1));
-    expect_that!(founds(&wiped, &[&two, &three]), err(eq(&joins)));
+    expect_that!(bootstraps(&wiped, &[]), err(anything()));
+    let joins = BootstrapBlocked::NotFirstStart(address(1));
+    expect_that!(bootstraps(&wiped, &[&two, &three]), err(eq(&joins)));
 }
 
 #[googletest::test]
-fn nobody_founds_beside_a_host_that_remembers() {
+fn no_host_bootstraps_beside_a_non_empty_or_disagreeing_seed() {
     let (one, mut two, three) = (host(1), host(2), host(3));
     two.empty = false;
-    let remembers = NotFounding::NotEmpty(address(2));
-    expect_that!(founds(&one, &[&two, &three]), err(eq(&remembers)));
+    let not_empty = BootstrapBlocked::NotEmpty(address(2));
+    expect_that!(bootstraps(&one, &[&two, &three]), err(eq(&not_empty)));
     let mut other_seeds = host(3);
     other_seeds.hello.seeds.pop();
-    let others = NotFounding::OtherSeeds(address(3));
-    expect_that!(founds(&one, &[&host(2), &other_seeds]), err(eq(&others)));
+    let others = BootstrapBlocked::OtherSeeds(address(3));
+    expect_that!(
+        bootstraps(&one, &[&host(2), &other_seeds]),
+        err(eq(&others))
+    );
 }
--- a/tests/testsuite/seeded_members.rs
+++ b/tests/testsuite/seeded_members.rs
@@ -1,9 +1,9 @@
-//! Control hosts that find each other: how the members of their group change.
+//! Automatic membership changes in groups of hosts that discover each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use coltsfootnotch::daemon::control::group_health::GroupHealth;
-use coltsfootnotch::daemon::control::seeded::Contact;
+use coltsfootnotch::daemon::control::seeded::Connectivity;
 use coltsfootnotch::daemon::control::seeded::members::{GroupView, MAX_VOTERS};
 use coltsfootnotch_consensus::{MemberChange, MemberId, Membership, PeerStatus};
 use googletest::prelude::*;
@@ -14,8 +14,8 @@
     members: Membership,
     connected: BTreeSet<MemberId>,
     peers: BTreeMap<MemberId, PeerStatus>,
-    first_starters: BTreeSet<MemberId>,
-    contact: Contact,
+    first_starts: BTreeSet<MemberId>,
+    connectivity: Connectivity,
 }
 
 impl Group {
@@ -25,35 +25,36 @@
             connected: voters.iter().cloned().collect(),
             members: Membership::of(voters),
             peers: BTreeMap::new(),
-            first_starters: BTreeSet::new(),
-            contact: Contact::default(),
+            first_starts: BTreeSet::new(),
+            connectivity: Connectivity::default(),
         }
     }
 
     fn change(&mut self, ms: u64) -> Option<MemberChange> {
-        let own = self.members.voters.first().expect("it has voters");
-        let others = self.connected.iter().filter(|m| *m != own);
+        let local = self.members.voters.first().expect("it has voters");
+        let others = self.connected.iter().filter(|m| *m != local);
         let others: Vec<_> = others
-            .map(|m| (m, hello(0, self.first_starters.contains(m))))
+            .map(|m| (m, hello(0, self.first_starts.contains(m))))
             .collect();
         let others = others.iter().map(|(m, hello)| (*m, hello));
-        self.contact.note(at(ms), &self.members, own, others);
+        self.connectivity
+            .update(at(ms), &self.members, local, others);
         let view = GroupView {
             members: &self.members,
             peers: &self.peers,
-            contact: &self.contact,
+            connectivity: &self.connectivity,
         };
         view.next_change(at(ms))
     }
 
-    /// A learner that is connected and has caught up.
+    /// Adds a learner that is connected and has caught up.
     fn learner(&mut self, learner: &MemberId) {
         self.members.learners.insert(learner.clone(), None);
         self.connected.insert(learner.clone());
-        self.hears(learner, 0);
+        self.set_peer(learner, 0);
     }
 
-    fn hears(&mut self, member: &MemberId, silent_ms: u64) {
+    fn set_peer(&mut self, member: &MemberId, silent_ms: u64) {
         let peer = PeerStatus {
             silent_for: at(silent_ms),
             caught_up: true,
@@ -88,8 +89,8 @@
     MemberChange::Remove { member }
 }
 
-/// The next loss would stop the group. A control host comes back with an empty disk: its old identity
-/// counts as a voter that never answers, until the leader puts the new one in its place.
+/// Guards against a host that returns with an empty disk while its old identity remains a voter, which
+/// leaves the group one loss from losing its quorum.
 #[googletest::test]
 fn a_host_with_a_new_disk_replaces_itself_at_once() {
     let mut group = three();
@@ -102,61 +103,61 @@
     expect_that!(group.change(0), some(eq(&replaced)));
 }
 
-/// Guards against a newcomer that gets a vote beside a voter that is gone.
+/// Guards against a new member that gets a vote beside a lost voter.
 #[googletest::test]
-fn a_newcomer_waits_without_a_vote_and_replaces_who_is_gone() {
+fn a_new_member_waits_without_a_vote_and_replaces_a_lost_voter() {
     let mut group = three();
-    let newcomer = member("d", 4);
-    group.connected.insert(newcomer.clone());
-    expect_that!(group.change(0), some(eq(&add(&newcomer))));
-    group.learner(&newcomer);
-    expect_that!(group.change(60_000), none(), "nobody is gone");
+    let new_member = member("d", 4);
+    group.connected.insert(new_member.clone());
+    expect_that!(group.change(0), some(eq(&add(&new_member))));
+    group.learner(&new_member);
+    expect_that!(group.change(60_000), none(), "no voter is lost");
     group.connected.remove(&member("b", 2));
-    expect_that!(group.change(60_100), none(), "it may be a restart");
-    let replaced = promote(&newcomer, Some(member("b", 2)));
+    expect_that!(group.change(60_100), none(), "b may be restarting");
+    let replaced = promote(&new_member, Some(member("b", 2)));
     expect_that!(group.change(61_600), some(eq(&replaced)));
 }
 
-/// Guards against a swap that leaves the group to a learner that lacks entries or has gone itself.
+/// Guards against promoting a learner that is behind or disconnected.
 #[googletest::test]
-fn a_learner_that_is_not_ready_replaces_nobody() {
+fn a_learner_that_is_not_ready_replaces_no_voter() {
     let mut group = three();
-    let newcomer = member("d", 4);
-    group.learner(&newcomer);
+    let new_member = member("d", 4);
+    group.learner(&new_member);
     group.connected.remove(&member("b", 2));
     group.change(0);
-    group.connected.remove(&newcomer);
+    group.connected.remove(&new_member);
     expect_that!(group.change(3_000), none(), "it is not connected");
-    group.connected.insert(newcomer.clone());
-    let lacks = PeerStatus {
+    group.connected.insert(new_member.clone());
+    let behind = PeerStatus {
         silent_for: at(0),
         caught_up: false,
     };
-    group.peers.insert(newcomer, lacks);
-    expect_that!(group.change(3_100), none(), "it lacks entries");
-    group.hears(&member("d", 4), 500);
-    expect_that!(group.change(3_200), none(), "it has just been lost");
-    group.hears(&member("d", 4), 0);
+    group.peers.insert(new_member, behind);
+    expect_that!(group.change(3_100), none(), "it is behind");
+    group.set_peer(&member("d", 4), 500);
+    expect_that!(group.change(3_200), none(), "it has just become silent");
+    group.set_peer(&member("d", 4), 0);
     expect_that!(group.change(3_300), some(anything()));
 }
 
-/// Guards against a voter whose disk hangs and which is never replaced, since its connection is up.
+/// Guards against a voter with a hanging disk that is never replaced because it is connected.
 #[googletest::test]
-fn a_voter_that_does_not_answer_is_replaced() {
+fn a_voter_that_does_not_respond_is_replaced() {
     let mut group = three();
-    let newcomer = member("d", 4);
-    group.learner(&newcomer);
-    group.hears(&member("b", 2), 1_400);
+    let new_member = member("d", 4);
+    group.learner(&new_member);
+    group.set_peer(&member("b", 2), 1_400);
     expect_that!(group.change(0), none());
-    group.hears(&member("b", 2), 1_500);
-    let replaced = promote(&newcomer, Some(member("b", 2)));
+    group.set_peer(&member("b", 2), 1_500);
+    let replaced = promote(&new_member, Some(member("b", 2)));
     expect_that!(group.change(0), some(eq(&replaced)));
 }
 
-/// Four voters of which one is gone need all others; three bear a loss. A second one that is away does
-/// not keep the first.
+/// Four voters with one lost need all others, while three tolerate a loss. A second disconnected voter
+/// doesn't prevent the removal.
 #[googletest::test]
-fn an_even_group_removes_a_gone_voter_at_once() {
+fn an_even_group_removes_a_lost_voter_at_once() {
     let mut group = Group::new(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
     group.connected.remove(&member("d", 4));
     expect_that!(group.change(0), none());
@@ -169,13 +170,13 @@
 }
 
 #[googletest::test]
-fn two_learners_make_the_next_odd_number() {
+fn two_learners_are_promoted_to_the_next_odd_number() {
     let mut group = three();
     let (d, e) = (member("d", 4), member("e", 5));
     group.learner(&d);
     expect_that!(group.change(0), none());
     group.learner(&e);
-    group.first_starters.extend([d.clone(), e.clone()]);
+    group.first_starts.extend([d.clone(), e.clone()]);
     expect_that!(group.change(0), some(eq(&promote(&d, None))));
     let mut group = Group::new(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
     group.learner(&e);
@@ -183,13 +184,17 @@
     let mut group = Group::new(&[("a", 1)]);
     group.learner(&d);
     let grown = promote(&d, None);
-    expect_that!(group.change(0), some(eq(&grown)), "one bears no loss");
+    expect_that!(
+        group.change(0),
+        some(eq(&grown)),
+        "one voter tolerates no loss"
+    );
 }
 
-/// Guards against two planned replacements that leave two voters too many: the newcomers come first, and
-/// the hosts that they replace leave for good a moment later.
+/// Guards against two planned replacements that leave two lost voters: the new members join shortly before
+/// the hosts that they replace leave.
 #[googletest::test]
-fn newcomers_wait_before_the_group_grows_by_them() {
+fn new_members_wait_before_the_group_grows() {
     let mut group = three();
     let (d, e) = (member("d", 4), member("e", 5));
     group.learner(&d);
@@ -197,19 +202,19 @@
     expect_that!(group.change(0), none());
     expect_that!(group.change(29_000), none());
     expect_that!(group.change(30_000), some(eq(&promote(&d, None))));
-    group.hears(&member("b", 2), 600);
+    group.set_peer(&member("b", 2), 600);
     expect_that!(group.change(30_000), none(), "a voter is missing");
 }
 
 #[googletest::test]
-fn one_change_at_a_time() {
+fn only_one_change_is_made_at_a_time() {
     let mut group = three();
     let (d, e, f) = (member("d", 4), member("e", 5), member("f", 6));
     group.learner(&d);
     group.connected.insert(e.clone());
     expect_that!(group.change(0), some(eq(&add(&e))));
     group.members.leaving = Some(member("c", 3));
-    expect_that!(group.change(0), none(), "a voter is on its way out");
+    expect_that!(group.change(0), none(), "a voter is being removed");
     group.members.leaving = None;
     group.learner(&e);
     group.connected.insert(f);
@@ -220,10 +225,10 @@
     expect_that!(group.change(1_600), some(eq(&remove(d))));
 }
 
-/// Two of four are cut off for a while. A leader that removed them would leave a group of two, of
-/// which one loss takes the majority, though the two cut off hold everything.
+/// Guards against a group that shrinks during a network partition, and loses its majority with the next
+/// loss.
 #[googletest::test]
-fn the_group_does_not_shrink_around_a_cut() {
+fn the_group_does_not_shrink_during_a_partition() {
     let mut group = three();
     group.connected.remove(&member("c", 3));
     group.change(0);
@@ -232,14 +237,18 @@
     group.connected.remove(&member("d", 4));
     group.connected.remove(&member("e", 5));
     group.change(0);
-    expect_that!(group.change(60_000), none(), "not while another is away");
+    expect_that!(
+        group.change(60_000),
+        none(),
+        "not while another is disconnected"
+    );
     group.connected.insert(member("e", 5));
     group.change(60_100);
     expect_that!(group.change(60_200), some(eq(&remove(member("d", 4)))));
 }
 
 #[googletest::test]
-fn the_group_stays_at_seven() {
+fn the_group_does_not_grow_beyond_seven_voters() {
     let voters: Vec<_> = (0..MAX_VOTERS as u128)
         .map(|n| (format!("h{n}"), n))
         .collect();
@@ -254,18 +263,18 @@
     expect_that!(group.change(60_000), none());
 }
 
-/// Guards against a group that reports a spare voter while its next loss stops it.
+/// Guards against reporting a spare voter when the next loss takes the majority.
 #[googletest::test]
-fn a_voter_that_is_gone_leaves_no_spare_beside_a_fourth() {
+fn a_lost_voter_leaves_no_spare_beside_a_fourth_voter() {
     let group = Group::new(&[("a", 1), ("b", 2), ("c", 3)]);
-    let mut here = group.connected.clone();
-    expect_that!(GroupHealth::of(&group.members, &here).spare(), eq(1));
-    here.remove(&member("c", 3));
-    here.insert(member("c", 9));
-    expect_that!(GroupHealth::of(&group.members, &here).spare(), eq(0));
+    let mut connected = group.connected.clone();
+    expect_that!(GroupHealth::of(&group.members, &connected).spare(), eq(1));
+    connected.remove(&member("c", 3));
+    connected.insert(member("c", 9));
+    expect_that!(GroupHealth::of(&group.members, &connected).spare(), eq(0));
     let group = Group::new(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
-    here.insert(member("d", 4));
-    expect_that!(GroupHealth::of(&group.members, &here).spare(), eq(0));
-    here.remove(&member("b", 2));
-    expect_that!(GroupHealth::of(&group.members, &here).spare(), eq(-1));
+    connected.insert(member("d", 4));
+    expect_that!(GroupHealth::of(&group.members, &connected).spare(), eq(0));
+    connected.remove(&member("b", 2));
+    expect_that!(GroupHealth::of(&group.members, &connected).spare(), eq(-1));
 }
