--- a/src/coltsfootnotch/daemon/control/handle.rs
+++ b/src/coltsfootnotch/daemon/control/handle.rs
@@ -79,7 +79,7 @@
     }
 
     /// A closure that replaces the daemon's seed addresses.
-    pub fn seeder(&self) -> impl Fn(Vec<SocketAddr>) + Send + 'static + use<> {
+    pub fn seed_updater(&self) -> impl Fn(Vec<SocketAddr>) + Send + 'static + use<> {
         let channel = self.channel.clone();
         move |seeds| {
             channel.send(Input::Seeds(seeds));
--- a/src/coltsfootnotch/daemon/control/seeded/call.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/call.rs
@@ -38,7 +38,7 @@
     /// The newest configuration, if there is one.
     Config(Option<ConfigBody>),
     /// Nothing was done, since this host has no log; the control host at this fleet address has one.
-    Elsewhere(SocketAddr),
+    Redirect(SocketAddr),
     /// The outcome is unknown; the call may be retried at any control host.
     Unknown,
 }
--- a/src/coltsfootnotch/daemon/control/seeded/handlers.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/handlers.rs
@@ -192,7 +192,7 @@
             return None;
         }
         let log_host = discovery.next_log_host();
-        Some(log_host.map_or(CallReply::Unknown, CallReply::Elsewhere))
+        Some(log_host.map_or(CallReply::Unknown, CallReply::Redirect))
     }
 
     fn apply(&mut self, now: Duration, number: u64, body: Vec<u8>, tx: oneshot::Sender<CallReply>) {
