--- a/crates/decide/benches/decision.rs
+++ b/crates/decide/benches/decision.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use coltsfootnotch_decide::admit::{Admission, QueueLimits};
-use coltsfootnotch_decide::fair::{ChoicePolicy, FairLedger, Waiting};
-use coltsfootnotch_decide::route::{Candidate, Nearness, PrefixKey, PrefixMap, place};
+use coltsfootnotch_decide::fair::{Backlog, ChoicePolicy, FairLedger};
+use coltsfootnotch_decide::route::{Candidate, PrefixKey, PrefixMap, Proximity, choose_upstream};
 use coltsfootnotch_types::{AccountName, PoolName, ServiceUnits, UpstreamName};
 use criterion::{BenchmarkId, Criterion};
 
@@ -58,7 +58,7 @@
     for pool in pools {
         for (i, account) in accounts.iter().enumerate() {
             let count = u32::from(i % BACKLOGGED_EVERY == 0);
-            ledger.set_waiting(pool, account, Waiting::new(count, now), now);
+            ledger.set_backlog(pool, account, Backlog::new(count, now), now);
         }
     }
     assert_eq!(accounts.len(), size.accounts);
@@ -95,7 +95,7 @@
                 total += 1;
                 let account =
                     &accounts[total % (size.accounts / BACKLOGGED_EVERY) * BACKLOGGED_EVERY];
-                ledger.learn_elsewhere([(account, ServiceUnits(total as u64))]);
+                ledger.merge_remote([(account, ServiceUnits(total as u64))]);
             });
         });
     }
@@ -112,14 +112,14 @@
         let mut map = PrefixMap::new();
         for prefix in 0..1_000 {
             let holder = &names[prefix % names.len()];
-            map.on_held(PrefixKey(prefix as u64), holder, Duration::ZERO);
+            map.on_cached(PrefixKey(prefix as u64), holder, Duration::ZERO);
         }
         let mut prefix = 0;
         group.bench_function(BenchmarkId::from_parameter(size.upstreams), |b| {
             b.iter(|| {
                 prefix = (prefix + 1) % 1_000;
                 let key = Some(PrefixKey(prefix));
-                black_box(place(&candidates, key, &[], &map, Duration::ZERO))
+                black_box(choose_upstream(&candidates, key, &[], &map, Duration::ZERO))
             });
         });
     }
@@ -129,10 +129,10 @@
 fn candidate((i, upstream): (usize, &UpstreamName)) -> Candidate<'_> {
     Candidate {
         upstream,
-        nearness: if i % 3 == 0 {
-            Nearness::Domain
+        proximity: if i % 3 == 0 {
+            Proximity::Domain
         } else {
-            Nearness::Away
+            Proximity::Remote
         },
         usable: 32,
         in_flight: (i % 32) as u32,
--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -62,7 +62,7 @@
         now: Duration,
     ) -> Result<(), Refusal> {
         let wait = self.expected_wait(pool, account, now);
-        if self.waiting_of(account) >= self.limits.allowance(self.queued) {
+        if self.queued_by(account) >= self.limits.allowance(self.queued) {
             // One start frees an entry, but other requests compete for it.
             let retry_after = wait.map_or(DEFAULT_RETRY_AFTER, |w| w / 2);
             return Err(Refusal::new(RefusalReason::AccountQueueFull, retry_after));
@@ -99,7 +99,7 @@
 
     /// Number of queued requests of one account over all pools.
     #[must_use]
-    pub fn waiting_of(&self, account: &AccountName) -> u32 {
+    pub fn queued_by(&self, account: &AccountName) -> u32 {
         self.accounts.get(account).copied().unwrap_or(0)
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Counts a queued request that was removed without a start: cancelled, refused or timed out.
-    pub fn on_left(&mut self, pool: &PoolName, account: &AccountName) {
+    pub fn on_removed(&mut self, pool: &PoolName, account: &AccountName) {
         let queue = self.remove_one(pool, account);
         if queue.waiting == 0 {
             queue.drain.on_empty();
@@ -131,7 +131,7 @@
 
     fn queue(&self, pool: &PoolName, account: &AccountName) -> AccountQueue {
         let queues = self.queues.get(pool);
-        let queue = queues.and_then(|l| l.get(account));
+        let queue = queues.and_then(|q| q.get(account));
         queue.copied().unwrap_or_default()
     }
 
@@ -139,7 +139,7 @@
         let account_count = self.accounts.get_mut(account).filter(|count| **count > 0);
         *account_count.expect("a request that leaves the queue is in it") -= 1;
         self.queued -= 1;
-        let queue = self.queues.get_mut(pool).and_then(|l| l.get_mut(account));
+        let queue = self.queues.get_mut(pool).and_then(|q| q.get_mut(account));
         let queue = queue.expect("a request that leaves a pool's queue is in it");
         queue.waiting -= 1;
         queue
--- a/crates/decide/src/crash/isolation.rs
+++ b/crates/decide/src/crash/isolation.rs
@@ -6,11 +6,11 @@
 ///
 /// With two suspects of one crash in flight, a second crash does not identify the cause.
 #[derive(Debug, Clone, Default)]
-pub struct ApartSlot {
+pub struct IsolationSlot {
     holder: Option<SuspectKey>,
 }
 
-impl ApartSlot {
+impl IsolationSlot {
     /// A free slot.
     #[must_use]
     pub fn new() -> Self {
@@ -25,7 +25,7 @@
 
     /// Acquires the slot for a suspect that is about to start; returns whether it was free.
     #[must_use]
-    pub fn enter(&mut self, key: &SuspectKey) -> bool {
+    pub fn try_acquire(&mut self, key: &SuspectKey) -> bool {
         let is_free = self.is_free();
         if is_free {
             self.holder = Some(key.clone());
@@ -34,7 +34,7 @@
     }
 
     /// Releases the slot if `key` holds it.
-    pub fn leave(&mut self, key: &SuspectKey) {
+    pub fn release(&mut self, key: &SuspectKey) {
         if self.holder.as_ref() == Some(key) {
             self.holder = None;
         }
--- a/crates/decide/src/crash/key.rs
+++ b/crates/decide/src/crash/key.rs
@@ -28,7 +28,7 @@
     pub number: u64,
 }
 
-/// Position of a receiver in the log of a [`CrashWatch`](super::CrashWatch).
+/// Position of a receiver in the log of a [`CrashTracker`](super::CrashTracker).
 ///
 /// It advances only when the receiver acknowledges a delta, so the next delta includes a lost one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/decide/src/crash/mod.rs
+++ b/crates/decide/src/crash/mod.rs
@@ -4,10 +4,10 @@
 //! without refusing the other requests that were in flight.
 //!
 //! Every request in flight at a crash becomes a suspect, identified by its account and the digest
-//! of its content. An upstream runs at most one suspect at a time ([`ApartSlot`]), beside requests
-//! that are not suspect. A suspect that ends without a crash is cleared. If the upstream crashes,
-//! the one request common to both crashes is identified as the cause and refused for a time, and
-//! the other suspects of both crashes are cleared.
+//! of its content. An upstream runs at most one suspect at a time ([`IsolationSlot`]), beside
+//! requests that are not suspect. A suspect that ends without a crash is cleared. If the upstream
+//! crashes, the one request common to both crashes is identified as the cause and refused for a
+//! time, and the other suspects of both crashes are cleared.
 //!
 //! Until all hosts have the report of the first crash, each running copy of a request can crash one
 //! upstream; after that, one isolated run can: see [`max_upstreams_lost`].
@@ -23,8 +23,8 @@
 mod tracker;
 
 pub use delta::{Clearance, CrashDelta, CrashReport};
-pub use isolation::ApartSlot;
+pub use isolation::IsolationSlot;
 pub use key::{ContentDigest, CrashId, Cursor, SuspectKey};
 pub use origin::Origin;
-pub use run_policy::{Verdict, max_upstreams_lost};
-pub use tracker::CrashWatch;
+pub use run_policy::{RunPolicy, max_upstreams_lost};
+pub use tracker::CrashTracker;
--- a/crates/decide/src/crash/run_policy.rs
+++ b/crates/decide/src/crash/run_policy.rs
@@ -4,11 +4,11 @@
 
 /// Whether and how a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RunPolicy {
     /// Without restriction.
-    Free,
+    Unrestricted,
     /// As a suspect, on an upstream that runs no other suspect.
-    Apart,
+    Isolated,
     /// Not at all: it has crashed two upstreams.
     Refused {
         /// Time until it is accepted again.
--- a/crates/decide/src/crash/tracker.rs
+++ b/crates/decide/src/crash/tracker.rs
@@ -5,7 +5,7 @@
 
 use coltsfootnotch_types::UpstreamName;
 
-use super::{Clearance, CrashDelta, CrashId, CrashReport, Cursor, Origin, SuspectKey, Verdict};
+use super::{Clearance, CrashDelta, CrashId, CrashReport, Cursor, Origin, RunPolicy, SuspectKey};
 
 /// How long a crash counts, and so how long its cause is refused. Long enough for a caller's retry
 /// loop to end; bounded, so that a request refused by mistake is accepted again.
@@ -31,22 +31,22 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_decide::crash::{ContentDigest, CrashWatch, Origin, SuspectKey, Verdict};
+/// use coltsfootnotch_decide::crash::{ContentDigest, CrashTracker, Origin, RunPolicy, SuspectKey};
 /// use coltsfootnotch_types::{AccountName, HostName, Incarnation, UpstreamName};
 /// # fn main() -> Result<(), coltsfootnotch_types::NameError> {
 /// let local = Origin::new(HostName::new("sidecar-1")?, Incarnation(1));
 /// let account = AccountName::new("bistro")?;
 /// let bad = SuspectKey { account, content: ContentDigest([7; 32]) };
-/// let mut watch = CrashWatch::new(local);
+/// let mut tracker = CrashTracker::new(local);
 /// let now = Duration::ZERO;
-/// watch.on_crash(&UpstreamName::new("u1")?, [bad.clone()], now);
-/// assert_eq!(watch.verdict(&bad, now), Verdict::Apart);
-/// watch.on_crash(&UpstreamName::new("u2")?, [bad.clone()], now);
-/// assert!(matches!(watch.verdict(&bad, now), Verdict::Refused { .. }));
+/// tracker.on_crash(&UpstreamName::new("u1")?, [bad.clone()], now);
+/// assert_eq!(tracker.run_policy(&bad, now), RunPolicy::Isolated);
+/// tracker.on_crash(&UpstreamName::new("u2")?, [bad.clone()], now);
+/// assert!(matches!(tracker.run_policy(&bad, now), RunPolicy::Refused { .. }));
 /// # Ok(()) }
 /// ```
 #[derive(Debug, Clone)]
-pub struct CrashWatch {
+pub struct CrashTracker {
     local: Origin,
     last_number: u64,
     crashes: BTreeMap<CrashId, Crash>,
@@ -56,7 +56,7 @@
     last_index: u64,
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// A tracker of the process `local` without crashes.
     #[must_use]
     pub fn new(local: Origin) -> Self {
@@ -95,7 +95,7 @@
 
     /// Records that an isolated suspect ended without a crash, which clears it of all crashes so
     /// far.
-    pub fn on_ended_well(&mut self, key: &SuspectKey) {
+    pub fn on_success(&mut self, key: &SuspectKey) {
         let crashes = self.by_key.get(key).cloned().unwrap_or_default();
         for crash in crashes {
             let key = key.clone();
@@ -105,21 +105,21 @@
 
     /// Whether and how a request may run.
     #[must_use]
-    pub fn verdict(&self, key: &SuspectKey, now: Duration) -> Verdict {
+    pub fn run_policy(&self, key: &SuspectKey, now: Duration) -> RunPolicy {
         let Some(crashes) = self.by_key.get(key) else {
-            return Verdict::Free;
+            return RunPolicy::Unrestricted;
         };
         let of_key = || crashes.iter().filter(|id| self.is_suspect(key, id, now));
         if self.is_cause(key, now) {
             let last = of_key().map(|id| self.crashes[id].at).max();
             let since = now.saturating_sub(last.unwrap_or(now));
             let retry_after = RETENTION.saturating_sub(since);
-            return Verdict::Refused { retry_after };
+            return RunPolicy::Refused { retry_after };
         }
         let unexplained = |id: &&CrashId| !self.is_explained(id, now);
         match of_key().find(unexplained) {
-            Some(_) => Verdict::Apart,
-            None => Verdict::Free,
+            Some(_) => RunPolicy::Isolated,
+            None => RunPolicy::Unrestricted,
         }
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Removes expired crashes; meant to be called about once a minute.
-    pub fn forget_old(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         let is_expired = |crash: &Crash| now.saturating_sub(crash.at) >= RETENTION;
         self.crashes.retain(|_, crash| !is_expired(crash));
         let crashes = &self.crashes;
--- a/crates/decide/src/fair/account.rs
+++ b/crates/decide/src/fair/account.rs
@@ -4,7 +4,7 @@
 
 use coltsfootnotch_types::AccountName;
 
-use super::{ChoicePolicy, VirtualService, Waiting};
+use super::{Backlog, ChoicePolicy, VirtualService};
 
 /// An account in the queue of one pool.
 #[derive(Debug, Clone)]
@@ -12,7 +12,7 @@
     pub(super) name: AccountName,
     /// Service per weight since the account was first seen, with all corrections.
     pub(super) virtual_service: VirtualService,
-    pub(super) waiting: Waiting,
+    pub(super) backlog: Backlog,
     /// Set when the account last stopped waiting.
     pub(super) idle: Option<Idle>,
     /// How far the account was raised when it last returned from idle; zero after the next update
@@ -32,14 +32,14 @@
         Self {
             name,
             virtual_service,
-            waiting: Waiting::default(),
+            backlog: Backlog::default(),
             idle: None,
             raised: VirtualService::ZERO,
         }
     }
 
     pub(super) fn is_waiting(&self) -> bool {
-        self.waiting.count > 0
+        self.backlog.count > 0
     }
 
     /// Sort key among the waiting accounts; the lowest is served first.
@@ -47,7 +47,7 @@
         match policy {
             ChoicePolicy::Fair | ChoicePolicy::PerHost => self.virtual_service,
             ChoicePolicy::Fifo => {
-                let micros = i64::try_from(self.waiting.oldest.as_micros());
+                let micros = i64::try_from(self.backlog.oldest.as_micros());
                 VirtualService(micros.unwrap_or(i64::MAX))
             }
         }
--- a/crates/decide/src/fair/bound.rs
+++ b/crates/decide/src/fair/bound.rs
@@ -16,8 +16,9 @@
 /// account B. That host may not yet count the rest of the runs in progress, at most the largest
 /// request in each slot, and remote service since the last update, at most the rate of every slot
 /// over the age of that update. So neither account leads by more than
-/// `slots * (largest + slot_rate * age) / weight`, and over a window in which both are backlogged
-/// the difference in service per weight changes by at most twice that, at the smaller weight.
+/// `slots * (largest + slot_rate * staleness) / weight`, and over a window in which both are
+/// backlogged the difference in service per weight changes by at most twice that, at the smaller
+/// weight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FairnessBound {
     /// Service of the largest request.
@@ -27,7 +28,7 @@
     /// Service that one slot gives in a second.
     pub slot_rate: ServiceUnits,
     /// Largest age of a host's information on the service and backlog of other hosts.
-    pub age: Duration,
+    pub staleness: Duration,
 }
 
 impl FairnessBound {
@@ -58,7 +59,7 @@
 
     /// Largest lead of one account, in units at weight 1.
     fn lead(&self) -> u64 {
-        let unreported = self.slot_rate.0 as f64 * self.age.as_secs_f64();
+        let unreported = self.slot_rate.0 as f64 * self.staleness.as_secs_f64();
         u64::from(self.slots) * (self.largest.0 + unreported.ceil() as u64)
     }
 }
@@ -69,8 +70,8 @@
 /// use std::time::Duration;
 /// use coltsfootnotch_decide::fair::fairness_bound;
 /// use coltsfootnotch_types::ServiceUnits;
-/// let age = Duration::from_millis(500);
-/// let bound = fairness_bound(ServiceUnits(4_000), 64, ServiceUnits(40), age);
+/// let staleness = Duration::from_millis(500);
+/// let bound = fairness_bound(ServiceUnits(4_000), 64, ServiceUnits(40), staleness);
 /// assert_eq!(bound, ServiceUnits(2 * 64 * (4_000 + 20)));
 /// ```
 #[must_use]
@@ -78,13 +79,13 @@
     largest: ServiceUnits,
     slots: u32,
     slot_rate: ServiceUnits,
-    age: Duration,
+    staleness: Duration,
 ) -> ServiceUnits {
     let bound = FairnessBound {
         largest,
         slots,
         slot_rate,
-        age,
+        staleness,
     };
     bound.gap(Weight::DEFAULT, Weight::DEFAULT).to_units()
 }
--- a/crates/decide/src/fair/ledger.rs
+++ b/crates/decide/src/fair/ledger.rs
@@ -6,20 +6,20 @@
 use coltsfootnotch_types::{AccountName, PoolName, ServiceUnits, Weight};
 
 use super::service_totals::ServiceTotals;
-use super::{ChoicePolicy, FairQueue, VirtualService, Waiting};
+use super::{Backlog, ChoicePolicy, FairQueue, VirtualService};
 use crate::estimate::{CostEstimator, RunCharge, Settlement};
 
 /// Charges runs, merges remote service and chooses the account to serve next.
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_decide::fair::{ChoicePolicy, FairLedger, Waiting};
+/// use coltsfootnotch_decide::fair::{Backlog, ChoicePolicy, FairLedger};
 /// use coltsfootnotch_types::{AccountName, PoolName, ServiceUnits};
 /// # fn main() -> Result<(), coltsfootnotch_types::NameError> {
 /// let (pool, bistro) = (PoolName::new("menu-writer")?, AccountName::new("bistro")?);
 /// let mut ledger = FairLedger::new(ChoicePolicy::Fair, ServiceUnits(1_000_000));
 /// let now = Duration::ZERO;
-/// ledger.set_waiting(&pool, &bistro, Waiting::new(1, now), now);
+/// ledger.set_backlog(&pool, &bistro, Backlog::new(1, now), now);
 /// let chosen = ledger.choose(&pool).cloned().expect("one account waits");
 /// let mut run = ledger.start(&chosen, Some(ServiceUnits(100)));
 /// ledger.stream(&mut run, ServiceUnits(40));
@@ -67,17 +67,17 @@
     }
 
     /// Sets the backlog of an account in a pool, summed over all entries.
-    pub fn set_waiting(
+    pub fn set_backlog(
         &mut self,
         pool: &PoolName,
         account: &AccountName,
-        waiting: Waiting,
+        backlog: Backlog,
         now: Duration,
     ) {
         let (policy, horizon) = (self.policy, self.horizon);
         let new_queue = || FairQueue::new(policy, horizon);
         let queue = self.queues.entry(pool.clone()).or_insert_with(new_queue);
-        queue.set_waiting(account, waiting, now);
+        queue.set_backlog(account, backlog, now);
     }
 
     /// The waiting account of a pool to serve next.
@@ -86,7 +86,7 @@
         self.queues.get(pool)?.choose()
     }
 
-    /// Waiting accounts of a pool in the order in which they are service.
+    /// Waiting accounts of a pool in the order in which they are served.
     pub fn ranked(&self, pool: &PoolName) -> impl Iterator<Item = &AccountName> {
         self.queues
             .get(pool)
@@ -94,7 +94,7 @@
             .flat_map(FairQueue::ranked)
     }
 
-    /// Queue of a pool; `None` before the first [`set_waiting`](Self::set_waiting) for it.
+    /// Queue of a pool; `None` before the first [`set_backlog`](Self::set_backlog) for it.
     #[must_use]
     pub fn queue(&self, pool: &PoolName) -> Option<&FairQueue> {
         self.queues.get(pool)
@@ -132,7 +132,7 @@
     ///
     /// # Panics
     /// If the run has used anything.
-    pub fn abandon(&mut self, run: RunCharge) {
+    pub fn refund(&mut self, run: RunCharge) {
         let settlement = run.settle();
         assert_eq!(
             settlement.used,
@@ -143,7 +143,7 @@
     }
 
     /// Merges totals of the service that all other hosts have given.
-    pub fn learn_elsewhere<'a>(
+    pub fn merge_remote<'a>(
         &mut self,
         totals: impl IntoIterator<Item = (&'a AccountName, ServiceUnits)>,
     ) {
--- a/crates/decide/src/fair/meter.rs
+++ b/crates/decide/src/fair/meter.rs
@@ -44,7 +44,7 @@
     index: HashMap<AccountName, usize>,
     /// By pair of indices, the smaller first.
     ranges: HashMap<(usize, usize), Range>,
-    largest: Option<Gap>,
+    largest_gap: Option<Gap>,
     bound: Option<FairnessBound>,
     restarts: u32,
 }
@@ -110,13 +110,13 @@
     /// let mut meter = FairnessMeter::new();
     /// meter.set_backlogged(&a, Weight::DEFAULT, true);
     /// meter.set_backlogged(&b, Weight::DEFAULT, true);
-    /// meter.serve(&a, Weight::DEFAULT, ServiceUnits(30));
-    /// meter.serve(&b, Weight::DEFAULT, ServiceUnits(50));
-    /// let gap = meter.largest().expect("one gap was seen");
+    /// meter.record_service(&a, Weight::DEFAULT, ServiceUnits(30));
+    /// meter.record_service(&b, Weight::DEFAULT, ServiceUnits(50));
+    /// let gap = meter.largest_gap().expect("one gap was seen");
     /// assert_eq!(gap.size.to_units(), ServiceUnits(50));
     /// # Ok::<(), coltsfootnotch_types::NameError>(())
     /// ```
-    pub fn serve(&mut self, account: &AccountName, weight: Weight, units: ServiceUnits) {
+    pub fn record_service(&mut self, account: &AccountName, weight: Weight, units: ServiceUnits) {
         let i = self.index_or_insert(account, weight);
         self.accounts[i].service += VirtualService::of(units, weight);
         if !self.accounts[i].backlogged {
@@ -131,8 +131,8 @@
 
     /// The largest gap so far; `None` if no account was served while another was backlogged too.
     #[must_use]
-    pub fn largest(&self) -> Option<&Gap> {
-        self.largest.as_ref()
+    pub fn largest_gap(&self) -> Option<&Gap> {
+        self.largest_gap.as_ref()
     }
 
     fn index_or_insert(&mut self, account: &AccountName, weight: Weight) -> usize {
@@ -162,10 +162,10 @@
         range.high = range.high.max(now);
         let (size, since) = (range.high - range.low, range.restarts);
         self.check(pair, size, self.restarts - since);
-        if self.largest.as_ref().is_none_or(|gap| gap.size < size) {
+        if self.largest_gap.as_ref().is_none_or(|gap| gap.size < size) {
             let name = |i: usize| self.accounts[i].name.clone();
             let between = (name(pair.0), name(pair.1));
-            self.largest = Some(Gap { size, between });
+            self.largest_gap = Some(Gap { size, between });
         }
     }
 
--- a/crates/decide/src/fair/mod.rs
+++ b/crates/decide/src/fair/mod.rs
@@ -5,9 +5,9 @@
 //!
 //! Each sidecar has a [`FairLedger`] with one [`FairQueue`] per pool. Local service is counted and
 //! reported to a relay ([`FairLedger::take_unsent`]), which returns totals of the service given by
-//! other hosts ([`FairLedger::learn_elsewhere`]). An account is ordered by its virtual service:
+//! other hosts ([`FairLedger::merge_remote`]). An account is ordered by its virtual service:
 //! local and remote service per weight, plus the unused part of the estimates of local runs. The
-//! waiting account with the lowest virtual service is service_totals next, with three corrections:
+//! waiting account with the lowest virtual service is served next, with three corrections:
 //!
 //! - An account that returns from idle is raised to the lowest waiting one, so idle time earns no
 //!   credit.
@@ -22,6 +22,7 @@
 //! [`FairnessBound`] is the resulting bound on unfairness; [`FairnessMeter`] measures against it.
 
 mod account;
+mod backlog;
 mod bound;
 mod ledger;
 mod meter;
@@ -30,8 +31,8 @@
 mod service_totals;
 mod spread_limit;
 mod virtual_service;
-mod waiting;
 
+pub use backlog::Backlog;
 pub use bound::{FairnessBound, fairness_bound};
 pub use ledger::FairLedger;
 pub use meter::{FairnessMeter, Gap};
@@ -39,4 +40,3 @@
 pub use queue::FairQueue;
 pub use service_totals::ServiceTotals;
 pub use virtual_service::VirtualService;
-pub use waiting::Waiting;
--- a/crates/decide/src/fair/queue.rs
+++ b/crates/decide/src/fair/queue.rs
@@ -6,7 +6,7 @@
 use coltsfootnotch_types::AccountName;
 
 use super::account::{Account, Idle};
-use super::{ChoicePolicy, VirtualService, Waiting};
+use super::{Backlog, ChoicePolicy, VirtualService};
 
 /// How long an account may be idle and keep its deficit against the others.
 ///
@@ -14,7 +14,7 @@
 /// cost it the service that it is still owed.
 const IDLE_GRACE: Duration = Duration::from_secs(1);
 
-/// Sort sort_key and index of a waiting account.
+/// Sort key and index of a waiting account.
 pub(super) type OrderKey = (VirtualService, usize);
 
 /// Waiting accounts of one pool in the order of their virtual service.
@@ -36,13 +36,13 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use coltsfootnotch_decide::fair::{ChoicePolicy, FairQueue, VirtualService, Waiting};
+    /// use coltsfootnotch_decide::fair::{Backlog, ChoicePolicy, FairQueue, VirtualService};
     /// use coltsfootnotch_types::AccountName;
     /// let (flood, bistro) = (AccountName::new("flood")?, AccountName::new("bistro")?);
     /// let mut queue = FairQueue::new(ChoicePolicy::Fair, VirtualService(1_000_000));
     /// let now = Duration::ZERO;
-    /// queue.set_waiting(&flood, Waiting::new(500, now), now);
-    /// queue.set_waiting(&bistro, Waiting::new(1, now), now);
+    /// queue.set_backlog(&flood, Backlog::new(500, now), now);
+    /// queue.set_backlog(&bistro, Backlog::new(1, now), now);
     /// queue.add_local(&flood, VirtualService(10));
     /// assert_eq!(queue.choose(), Some(&bistro));
     /// # Ok::<(), coltsfootnotch_types::NameError>(())
@@ -78,9 +78,9 @@
 
     /// Backlog of an account; empty if the account is unknown.
     #[must_use]
-    pub fn waiting(&self, account: &AccountName) -> Waiting {
+    pub fn backlog(&self, account: &AccountName) -> Backlog {
         let i = self.index.get(account);
-        i.map(|i| self.accounts[*i].waiting).unwrap_or_default()
+        i.map(|i| self.accounts[*i].backlog).unwrap_or_default()
     }
 
     /// Whether the account has been seen in this pool.
@@ -98,17 +98,17 @@
 
     /// Sets the backlog of an account. An account that returns from idle gets no credit for that
     /// time.
-    pub fn set_waiting(&mut self, account: &AccountName, waiting: Waiting, now: Duration) {
+    pub fn set_backlog(&mut self, account: &AccountName, backlog: Backlog, now: Duration) {
         let i = self.index_or_insert(account);
         let was_waiting = self.accounts[i].is_waiting();
-        if was_waiting && waiting.count == 0 {
+        if was_waiting && backlog.count == 0 {
             self.on_idle(i, now);
             return;
         }
-        if !was_waiting && waiting.count > 0 {
+        if !was_waiting && backlog.count > 0 {
             self.raise_to_floor(i, now);
         }
-        self.change(i, |a| a.waiting = waiting);
+        self.change(i, |a| a.backlog = backlog);
         self.limit_spread();
     }
 
@@ -164,7 +164,7 @@
     }
 
     fn on_idle(&mut self, i: usize, now: Duration) {
-        self.change(i, |a| a.waiting = Waiting::default());
+        self.change(i, |a| a.backlog = Backlog::default());
         let virtual_service = self.accounts[i].virtual_service;
         let behind = (self.floor() - virtual_service).max(VirtualService::ZERO);
         self.accounts[i].idle = Some(Idle { since: now, behind });
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -14,15 +14,15 @@
 /// Re-exports of the commonly used types and functions.
 pub mod prelude {
     pub use crate::admit::{Admission, HostLimits, HostLoad, QueueLimits, Refusal, RefusalReason};
-    pub use crate::crash::{ApartSlot, CrashWatch, SuspectKey, Verdict};
+    pub use crate::crash::{CrashTracker, IsolationSlot, RunPolicy, SuspectKey};
     pub use crate::estimate::{CostEstimator, RunCharge};
     pub use crate::fair::{
-        ChoicePolicy, FairLedger, FairQueue, FairnessBound, FairnessMeter, VirtualService, Waiting,
+        Backlog, ChoicePolicy, FairLedger, FairQueue, FairnessBound, FairnessMeter, VirtualService,
     };
-    pub use crate::retry::{Attempt, NoRetry, RetryBudget, may_retry};
+    pub use crate::retry::{FailedAttempt, NoRetry, RetryBudget, may_retry};
     pub use crate::route::{
-        Candidate, HealthEvent, Nearness, PrefixKey, PrefixMap, UpstreamHealth, VersionShift,
-        WaitingRequest, pick_request, place, usable_slots,
+        Candidate, HealthEvent, PrefixKey, PrefixMap, Proximity, UpstreamHealth, VersionShift,
+        WaitingRequest, choose_request, choose_upstream, usable_slots,
     };
     pub use crate::window::{ConcurrencyWindow, RunEnd, WindowTargets};
 }
--- a/crates/decide/src/retry/mod.rs
+++ b/crates/decide/src/retry/mod.rs
@@ -10,4 +10,4 @@
 mod rule;
 
 pub use budget::RetryBudget;
-pub use rule::{Attempt, NoRetry, may_retry};
+pub use rule::{FailedAttempt, NoRetry, may_retry};
--- a/crates/decide/src/retry/rule.rs
+++ b/crates/decide/src/retry/rule.rs
@@ -12,11 +12,11 @@
 
 /// A request after a failed attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct Attempt<'a> {
+pub struct FailedAttempt<'a> {
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Whether part of an answer has been sent to the caller.
-    pub answer_begun: bool,
+    pub answer_started: bool,
     /// Upstreams of its failed attempts, to be avoided by the next one.
     pub failed_on: &'a [UpstreamName],
     /// The latest start that is of use to the caller.
@@ -31,7 +31,7 @@
     NotRepeatable,
     /// Part of an answer has been sent to the caller.
     #[display("part of the answer has been sent")]
-    AnswerBegun,
+    AnswerStarted,
     /// The maximum number of attempts has been made.
     #[display("all attempts have failed")]
     AttemptsUsed,
@@ -48,15 +48,15 @@
 /// # Errors
 /// Returns the first condition that is not met.
 pub fn may_retry(
-    attempt: &Attempt<'_>,
+    attempt: &FailedAttempt<'_>,
     budget: &mut RetryBudget,
     now: Duration,
 ) -> Result<(), NoRetry> {
     if !attempt.repeatable {
         return Err(NoRetry::NotRepeatable);
     }
-    if attempt.answer_begun {
-        return Err(NoRetry::AnswerBegun);
+    if attempt.answer_started {
+        return Err(NoRetry::AnswerStarted);
     }
     if attempt.failed_on.len() >= MAX_ATTEMPTS {
         return Err(NoRetry::AttemptsUsed);
--- a/crates/decide/src/route/candidate.rs
+++ b/crates/decide/src/route/candidate.rs
@@ -4,20 +4,24 @@
 
 /// Distance class of an upstream from the local host, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Nearness {
+pub enum Proximity {
     /// On the local host.
     Host,
     /// In the same failure domain.
     Domain,
     /// In another failure domain.
-    Away,
+    Remote,
 }
 
-impl Nearness {
+impl Proximity {
     /// Distance class between hosts in the failure domains `from` and `to`.
     #[must_use]
     pub fn between(from: &DomainName, to: &DomainName) -> Self {
-        if from == to { Self::Domain } else { Self::Away }
+        if from == to {
+            Self::Domain
+        } else {
+            Self::Remote
+        }
     }
 }
 
@@ -27,7 +31,7 @@
     /// Name of the upstream.
     pub upstream: &'a UpstreamName,
     /// Distance class from the local host.
-    pub nearness: Nearness,
+    pub proximity: Proximity,
     /// Slots that may be used: the concurrency window scaled by health and version weight (see
     /// [`usable_slots`](super::usable_slots)).
     pub usable: u32,
--- a/crates/decide/src/route/pick.rs
+++ b/crates/decide/src/route/choose_request.rs
@@ -19,17 +19,17 @@
     /// Prefix of its prompt, if any.
     pub prefix: Option<PrefixKey>,
     /// How often a younger request was chosen instead.
-    pub passed: u32,
+    pub skipped: u32,
     /// Upstreams of its failed attempts.
     pub avoid: &'a [UpstreamName],
 }
 
 /// Chooses the index of the request, among those of an account oldest first, to run on `upstream`.
 ///
-/// The caller increments `passed` of each request older than the one chosen. `None` if none of the
+/// The caller increments `skipped` of each request older than the one chosen. `None` if none of the
 /// oldest may run there.
 #[must_use]
-pub fn pick_request<'a>(
+pub fn choose_request<'a>(
     oldest_first: impl IntoIterator<Item = WaitingRequest<'a>>,
     upstream: &UpstreamName,
     map: &PrefixMap,
@@ -39,10 +39,10 @@
     let requests = oldest_first.into_iter().enumerate();
     let may_run = |r: &WaitingRequest<'_>| !r.avoid.contains(upstream);
     for (i, req) in requests.filter(|(_, r)| may_run(r)).take(CANDIDATES) {
-        if req.prefix.is_some_and(|p| map.holds(p, upstream, now)) {
+        if req.prefix.is_some_and(|p| map.is_cached(p, upstream, now)) {
             return Some(i);
         }
-        if req.passed >= MAX_SKIPPED {
+        if req.skipped >= MAX_SKIPPED {
             return Some(first.unwrap_or(i));
         }
         first.get_or_insert(i);
--- a/crates/decide/src/route/place.rs
+++ b/crates/decide/src/route/choose_upstream.rs
@@ -20,22 +20,22 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_decide::route::{Candidate, Nearness, PrefixMap, place};
+/// use coltsfootnotch_decide::route::{Candidate, PrefixMap, Proximity, choose_upstream};
 /// use coltsfootnotch_types::UpstreamName;
 /// let (busy, free) = (UpstreamName::new("u1")?, UpstreamName::new("u2")?);
 /// let of = |upstream, in_flight| Candidate {
 ///     upstream,
-///     nearness: Nearness::Domain,
+///     proximity: Proximity::Domain,
 ///     usable: 8,
 ///     in_flight,
 /// };
 /// let candidates = [of(&busy, 8), of(&free, 7)];
-/// let chosen = place(&candidates, None, &[], &PrefixMap::new(), Duration::ZERO);
+/// let chosen = choose_upstream(&candidates, None, &[], &PrefixMap::new(), Duration::ZERO);
 /// assert_eq!(chosen, Some(1));
 /// # Ok::<(), coltsfootnotch_types::NameError>(())
 /// ```
 #[must_use]
-pub fn place(
+pub fn choose_upstream(
     candidates: &[Candidate<'_>],
     prefix: Option<PrefixKey>,
     avoid: &[UpstreamName],
@@ -44,15 +44,15 @@
 ) -> Option<usize> {
     let bound = load_bound(candidates);
     let rank = |candidate: &Candidate<'_>| {
-        let holds = prefix.is_some_and(|p| map.holds(p, candidate.upstream, now));
-        let has_affinity = holds && load(candidate) <= bound;
+        let is_cached = prefix.is_some_and(|p| map.is_cached(p, candidate.upstream, now));
+        let has_affinity = is_cached && load(candidate) <= bound;
         let load_percent = prefix.is_none().then(|| load_percent(candidate));
         let hash = prefix.map(|p| Reverse(rendezvous(p, candidate.upstream)));
         let overloaded = load(candidate) > bound;
         (
             !has_affinity,
             overloaded,
-            candidate.nearness,
+            candidate.proximity,
             load_percent,
             hash,
         )
--- a/crates/decide/src/route/health.rs
+++ b/crates/decide/src/route/health.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum HealthEvent {
     /// A heartbeat was received.
-    Alive,
+    Heartbeat,
     /// A run succeeded.
     Succeeded,
     /// A run failed because of the upstream.
@@ -76,7 +76,7 @@
     pub fn on_event(&mut self, event: HealthEvent, now: Duration) {
         self.detect_outage(now);
         match event {
-            HealthEvent::Alive => self.on_heartbeat(now),
+            HealthEvent::Heartbeat => self.on_heartbeat(now),
             HealthEvent::Succeeded => {
                 self.on_heartbeat(now);
                 self.failure_rate *= 1.0 - SMOOTHING;
--- a/crates/decide/src/route/prefix.rs
+++ b/crates/decide/src/route/prefix.rs
@@ -41,7 +41,7 @@
     /// Records that an upstream had a prefix cached at `at`, by a started run or a cache event.
     ///
     /// An event older than the last one has no effect.
-    pub fn on_held(&mut self, prefix: PrefixKey, upstream: &UpstreamName, at: Duration) {
+    pub fn on_cached(&mut self, prefix: PrefixKey, upstream: &UpstreamName, at: Duration) {
         let entry = self.entries.entry(prefix).or_default();
         self.by_last_use.remove(&(entry.last_used, prefix));
         entry.last_used = entry.last_used.max(at);
@@ -64,9 +64,9 @@
 
     /// Whether an upstream is likely to have a prefix cached.
     #[must_use]
-    pub fn holds(&self, prefix: PrefixKey, upstream: &UpstreamName, now: Duration) -> bool {
+    pub fn is_cached(&self, prefix: PrefixKey, upstream: &UpstreamName, now: Duration) -> bool {
         let entry = self.entries.get(&prefix);
-        let last_seen = entry.and_then(|b| b.holders.get(upstream));
+        let last_seen = entry.and_then(|e| e.holders.get(upstream));
         last_seen.is_some_and(|at| now.saturating_sub(*at) < ENTRY_LIFETIME)
     }
 
--- a/crates/decide/src/route/shift.rs
+++ b/crates/decide/src/route/shift.rs
@@ -12,7 +12,7 @@
 /// use std::time::Duration;
 /// use coltsfootnotch_decide::route::VersionShift;
 /// let mut shift = VersionShift::new(0.0);
-/// shift.aim(1.0, Duration::from_secs(10));
+/// shift.set_target(1.0, Duration::from_secs(10));
 /// assert_eq!(shift.share(Duration::from_secs(60)), 0.5);
 /// assert_eq!(shift.share(Duration::from_secs(600)), 1.0);
 /// ```
@@ -36,7 +36,7 @@
     }
 
     /// Starts to move from the current share to another one.
-    pub fn aim(&mut self, share: f64, now: Duration) {
+    pub fn set_target(&mut self, share: f64, now: Duration) {
         self.from = self.share(now);
         self.to = share.clamp(0.0, 1.0);
         self.started_at = now;
--- a/crates/decide/src/window/limit.rs
+++ b/crates/decide/src/window/limit.rs
@@ -18,7 +18,7 @@
 /// let mut window = ConcurrencyWindow::new(WindowTargets::model());
 /// let started = Duration::from_secs(1);
 /// window.on_start(started, false);
-/// window.on_first(started, started + Duration::from_millis(300));
+/// window.on_first_token(started, started + Duration::from_millis(300));
 /// window.on_end(started, started + Duration::from_secs(2), RunEnd::Finished);
 /// assert_eq!(window.free(), window.limit());
 /// ```
@@ -66,7 +66,7 @@
     }
 
     /// Sets the targets; the current limit is kept.
-    pub fn aim_at(&mut self, targets: WindowTargets) {
+    pub fn set_targets(&mut self, targets: WindowTargets) {
         self.targets = targets;
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Records the first token of a run that started at `started`.
-    pub fn on_first(&mut self, started: Duration, now: Duration) {
+    pub fn on_first_token(&mut self, started: Duration, now: Duration) {
         self.last_token = now;
         self.remove_pending(started);
         if started >= self.round_started {
@@ -109,7 +109,7 @@
     }
 
     /// Records the time between two tokens of a run.
-    pub fn on_gap(&mut self, gap: Duration, now: Duration) {
+    pub fn on_token_gap(&mut self, gap: Duration, now: Duration) {
         self.last_token = now;
         self.round.add_token_gap(gap);
     }
@@ -148,7 +148,7 @@
     ///
     /// Reduces the limit of an engine that hangs and so yields no measurements.
     pub fn on_tick(&mut self, now: Duration) {
-        let timeout = self.targets.first.mul_f64(OVERLOAD_ABOVE);
+        let timeout = self.targets.first_token.mul_f64(OVERLOAD_ABOVE);
         let first_of_round = self.pending_runs.range(self.round_started..).next();
         let oldest = first_of_round.map_or(now, |(started, _)| *started);
         // A run may wait behind long ones while the engine yields tokens.
@@ -166,7 +166,7 @@
     /// So pending runs above the target count with their wait so far, and the round waits for the
     /// others.
     fn try_end_round(&mut self, now: Duration) {
-        let late = now.saturating_sub(self.targets.first);
+        let late = now.saturating_sub(self.targets.first_token);
         let mut pending = 0;
         let mut late_waits = Vec::new();
         for (started, count) in self.pending_runs.range(self.round_started..) {
@@ -177,7 +177,7 @@
                 pending += *count as usize;
             }
         }
-        let measured = self.round.first_tokens() + late_waits.len();
+        let measured = self.round.first_token_count() + late_waits.len();
         if measured >= ROUND_SAMPLES && pending <= measured / PENDING_DIVISOR {
             late_waits
                 .into_iter()
@@ -228,7 +228,7 @@
         self.grown_from = Some(before);
     }
 
-    /// Reverts the last growth if there is one; else steps down or, on overload, halves the limit.
+    /// Reverts the last growth if there is one, else steps down or, on overload, halves the limit.
     fn shrink(&mut self, latency_ratio: f64, now: Duration) {
         let Some(before) = self.grown_from else {
             if latency_ratio > OVERLOAD_ABOVE {
@@ -260,8 +260,8 @@
     /// The larger of both medians, each divided by its target.
     fn latency_ratio(&self) -> f64 {
         let first = self.round.median_first_token();
-        let first = first.map_or(0.0, |time| ratio(time, self.targets.first));
-        let gap = self.round.median_token_gap().zip(self.targets.gap);
+        let first = first.map_or(0.0, |time| ratio(time, self.targets.first_token));
+        let gap = self.round.median_token_gap().zip(self.targets.token_gap);
         let gap = gap.map_or(0.0, |(time, target)| ratio(time, target));
         first.max(gap)
     }
--- a/crates/decide/src/window/round.rs
+++ b/crates/decide/src/window/round.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(super) fn first_tokens(&self) -> usize {
+    pub(super) fn first_token_count(&self) -> usize {
         self.first_tokens.len()
     }
 
--- a/crates/decide/src/window/targets.rs
+++ b/crates/decide/src/window/targets.rs
@@ -12,9 +12,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WindowTargets {
     /// From the start of a run to its first token; for a plain service, to the whole answer.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Between tokens; `None` for plain services.
-    pub gap: Option<Duration>,
+    pub token_gap: Option<Duration>,
 }
 
 impl WindowTargets {
@@ -22,8 +22,8 @@
     #[must_use]
     pub fn model() -> Self {
         Self {
-            first: FIRST_TOKEN_TARGET,
-            gap: Some(TOKEN_GAP_TARGET),
+            first_token: FIRST_TOKEN_TARGET,
+            token_gap: Some(TOKEN_GAP_TARGET),
         }
     }
 
@@ -31,8 +31,8 @@
     #[must_use]
     pub fn service(latency: Duration) -> Self {
         Self {
-            first: latency,
-            gap: None,
+            first_token: latency,
+            token_gap: None,
         }
     }
 }
--- a/crates/decide/tests/fair_queue.rs
+++ b/crates/decide/tests/fair_queue.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfootnotch_decide::fair::{ChoicePolicy, FairLedger, FairQueue, VirtualService, Waiting};
+use coltsfootnotch_decide::fair::{Backlog, ChoicePolicy, FairLedger, FairQueue, VirtualService};
 use coltsfootnotch_types::{AccountName, PoolName, ServiceUnits, Weight};
 use googletest::prelude::*;
 
@@ -24,9 +24,9 @@
     FairLedger::new(ChoicePolicy::Fair, ServiceUnits(1_000_000))
 }
 
-fn set_waiting(queue: &mut FairQueue, account: &AccountName, count: u32, at: u64) {
+fn set_backlog(queue: &mut FairQueue, account: &AccountName, count: u32, at: u64) {
     let now = Duration::from_secs(at);
-    queue.set_waiting(account, Waiting::new(count, now), now);
+    queue.set_backlog(account, Backlog::new(count, now), now);
 }
 
 fn ranked(queue: &FairQueue) -> Vec<&str> {
@@ -38,11 +38,11 @@
     // `busy` received 500 while `idle` did not wait, which `idle` must not catch up on.
     let (idle, busy) = (account("idle"), account("busy"));
     let mut queue = queue();
-    set_waiting(&mut queue, &idle, 1, 0);
-    set_waiting(&mut queue, &idle, 0, 1);
-    set_waiting(&mut queue, &busy, 9, 1);
+    set_backlog(&mut queue, &idle, 1, 0);
+    set_backlog(&mut queue, &idle, 0, 1);
+    set_backlog(&mut queue, &busy, 9, 1);
     queue.add_local(&busy, VirtualService(500));
-    set_waiting(&mut queue, &idle, 9, 60);
+    set_backlog(&mut queue, &idle, 9, 60);
     expect_that!(queue.virtual_service(&idle), some(eq(VirtualService(500))));
     queue.add_local(&idle, VirtualService(1));
     expect_that!(queue.choose(), some(eq(&busy)));
@@ -54,11 +54,11 @@
     // raise to 500 on its return covers these 400.
     let (returning, busy) = (account("returning"), account("busy"));
     let mut queue = queue();
-    set_waiting(&mut queue, &returning, 1, 0);
-    set_waiting(&mut queue, &returning, 0, 1);
-    set_waiting(&mut queue, &busy, 9, 1);
+    set_backlog(&mut queue, &returning, 1, 0);
+    set_backlog(&mut queue, &returning, 0, 1);
+    set_backlog(&mut queue, &busy, 9, 1);
     queue.add_local(&busy, VirtualService(500));
-    set_waiting(&mut queue, &returning, 1, 3_600);
+    set_backlog(&mut queue, &returning, 1, 3_600);
     queue.add_remote(&returning, VirtualService(400));
     expect_that!(
         queue.virtual_service(&returning),
@@ -75,12 +75,12 @@
 fn a_briefly_empty_queue_keeps_its_deficit() {
     let (owed, ahead) = (account("owed"), account("ahead"));
     let mut queue = queue();
-    set_waiting(&mut queue, &owed, 1, 0);
-    set_waiting(&mut queue, &ahead, 1, 0);
+    set_backlog(&mut queue, &owed, 1, 0);
+    set_backlog(&mut queue, &ahead, 1, 0);
     queue.add_local(&ahead, VirtualService(300));
-    set_waiting(&mut queue, &owed, 0, 10);
+    set_backlog(&mut queue, &owed, 0, 10);
     queue.add_local(&ahead, VirtualService(100));
-    set_waiting(&mut queue, &owed, 1, 11);
+    set_backlog(&mut queue, &owed, 1, 11);
     expect_that!(queue.virtual_service(&owed), some(eq(VirtualService(100))));
 }
 
@@ -92,7 +92,7 @@
     let both = account("both");
     let mut queue = queue();
     for other in others.iter().chain([&both]) {
-        set_waiting(&mut queue, other, 5, 0);
+        set_backlog(&mut queue, other, 5, 0);
     }
     queue.add_local(&others[1], VirtualService(10));
     queue.add_local(&others[2], VirtualService(20));
@@ -112,7 +112,7 @@
     let (stuck, a, b) = (account("stuck"), account("a"), account("b"));
     let mut queue = queue();
     for account in [&stuck, &a, &b] {
-        set_waiting(&mut queue, account, 5, 0);
+        set_backlog(&mut queue, account, 5, 0);
     }
     queue.add_local(&a, VirtualService(900));
     queue.add_local(&b, VirtualService(990));
@@ -129,10 +129,10 @@
     let mut ledger = ledger();
     let now = Duration::ZERO;
     for account in [&old, &new] {
-        ledger.set_waiting(&pool(), account, Waiting::new(5, now), now);
+        ledger.set_backlog(&pool(), account, Backlog::new(5, now), now);
     }
-    ledger.learn_elsewhere([(&old, ServiceUnits(1_000_000)), (&new, ServiceUnits(1_000))]);
-    ledger.learn_elsewhere([(&old, ServiceUnits(1_000_100)), (&new, ServiceUnits(1_150))]);
+    ledger.merge_remote([(&old, ServiceUnits(1_000_000)), (&new, ServiceUnits(1_000))]);
+    ledger.merge_remote([(&old, ServiceUnits(1_000_100)), (&new, ServiceUnits(1_150))]);
     expect_that!(ledger.choose(&pool()), some(eq(&old)));
     let virtual_service = |a| ledger.queue(&pool()).and_then(|q| q.virtual_service(a));
     let difference = virtual_service(&new)
@@ -146,9 +146,9 @@
     // The host connects to a relay that lags behind.
     let bistro = account("bistro");
     let mut ledger = ledger();
-    ledger.learn_elsewhere([(&bistro, ServiceUnits(100))]);
-    ledger.learn_elsewhere([(&bistro, ServiceUnits(60))]);
-    ledger.learn_elsewhere([(&bistro, ServiceUnits(130))]);
+    ledger.merge_remote([(&bistro, ServiceUnits(100))]);
+    ledger.merge_remote([(&bistro, ServiceUnits(60))]);
+    ledger.merge_remote([(&bistro, ServiceUnits(130))]);
     expect_that!(ledger.total(&bistro), eq(ServiceUnits(130)));
 }
 
@@ -157,7 +157,7 @@
     let bistro = account("bistro");
     let mut ledger = ledger();
     let now = Duration::ZERO;
-    ledger.set_waiting(&pool(), &bistro, Waiting::new(2, now), now);
+    ledger.set_backlog(&pool(), &bistro, Backlog::new(2, now), now);
     ledger.set_weight(&bistro, Weight::new(10).expect("a valid weight"));
     let mut run = ledger.start(&bistro, None);
     ledger.set_weight(&bistro, Weight::DEFAULT);
@@ -177,7 +177,7 @@
     let bistro = account("bistro");
     let mut ledger = ledger();
     let now = Duration::ZERO;
-    ledger.set_waiting(&pool(), &bistro, Waiting::new(2, now), now);
+    ledger.set_backlog(&pool(), &bistro, Backlog::new(2, now), now);
     let mut run = ledger.start(&bistro, None);
     ledger.stream(&mut run, ServiceUnits(3));
     ledger.stream(&mut run, ServiceUnits(2));
@@ -205,11 +205,11 @@
     let mut ledger = ledger();
     let now = Duration::ZERO;
     for account in [&a, &b] {
-        ledger.set_waiting(&pool(), account, Waiting::new(5, now), now);
+        ledger.set_backlog(&pool(), account, Backlog::new(5, now), now);
     }
     let first = ledger.start(&a, None);
     expect_that!(ledger.choose(&pool()), some(eq(&b)));
-    ledger.abandon(first);
+    ledger.refund(first);
     expect_that!(ledger.choose(&pool()), some(eq(&a)));
     let virtual_service = ledger.queue(&pool()).and_then(|q| q.virtual_service(&a));
     expect_that!(virtual_service, some(eq(VirtualService::ZERO)));
--- a/crates/decide/tests/fleet/harness.rs
+++ b/crates/decide/tests/fleet/harness.rs
@@ -108,7 +108,7 @@
             largest: ServiceUnits(options.largest),
             slots: (options.sidecars * options.slots) as u32,
             slot_rate: ServiceUnits(TOKENS * 10),
-            age: STEP * (2 * RELAY_EVERY + 1) + options.max_outage,
+            staleness: STEP * (2 * RELAY_EVERY + 1) + options.max_outage,
         };
         let mut fleet = Self {
             now: Duration::ZERO,
@@ -222,10 +222,10 @@
         for (i, sidecar) in self.sidecars.iter_mut().enumerate() {
             for source in self.sources.iter().filter(|s| s.can_reach(i)) {
                 let oldest = source.waiting.front().map(|w| w.arrived);
-                let waiting = Waiting::new(source.waiting.len() as u32, oldest.unwrap_or_default());
+                let backlog = Backlog::new(source.waiting.len() as u32, oldest.unwrap_or_default());
                 sidecar
                     .ledger
-                    .set_waiting(&self.pool, &source.account, waiting, self.now);
+                    .set_backlog(&self.pool, &source.account, backlog, self.now);
             }
         }
     }
@@ -257,8 +257,8 @@
         let ledger = &mut self.sidecars[i].ledger;
         let charge = ledger.start(&source.account, None);
         let oldest = source.waiting.front().map(|w| w.arrived);
-        let waiting = Waiting::new(source.waiting.len() as u32, oldest.unwrap_or_default());
-        ledger.set_waiting(&self.pool, &source.account, waiting, self.now);
+        let backlog = Backlog::new(source.waiting.len() as u32, oldest.unwrap_or_default());
+        ledger.set_backlog(&self.pool, &source.account, backlog, self.now);
         self.sidecars[i].runs.push(Run {
             source: s,
             charge,
@@ -279,7 +279,8 @@
                 .stream(&mut run.charge, ServiceUnits(run.used));
             let source = &mut self.sources[run.source];
             source.row.served += units.0;
-            self.meter.serve(&source.account, source.weight, units);
+            self.meter
+                .record_service(&source.account, source.weight, units);
             if run.used == run.cost {
                 source.row.done += 1;
                 sidecar.ledger.settle(run.charge);
@@ -298,18 +299,18 @@
             }
         }
         for sidecar in self.sidecars.iter_mut().filter(|s| s.connected) {
-            let elsewhere = self.sources.iter().map(|s| {
+            let totals = self.sources.iter().map(|s| {
                 let of = |m: &HashMap<_, ServiceUnits>| m.get(&s.account).map_or(0, |u| u.0);
                 let remote = of(&self.relay) - of(&sidecar.reported);
                 (&s.account, ServiceUnits(remote))
             });
-            sidecar.ledger.learn_elsewhere(elsewhere);
+            sidecar.ledger.merge_remote(totals);
         }
     }
 
     /// Largest measured gap, in units at weight 1.
     pub(crate) fn gap(&self) -> u64 {
-        self.meter.largest().map_or(0, |g| g.size.to_units().0)
+        self.meter.largest_gap().map_or(0, |g| g.size.to_units().0)
     }
 
     /// Share of slots in use, per mille.
--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use coltsfootnotch_decide::retry::{Attempt, NoRetry, RetryBudget, may_retry};
+use coltsfootnotch_decide::retry::{FailedAttempt, NoRetry, RetryBudget, may_retry};
 use coltsfootnotch_types::UpstreamName;
 use googletest::prelude::*;
 
-fn attempt(failed_on: &[UpstreamName]) -> Attempt<'_> {
-    Attempt {
+fn attempt(failed_on: &[UpstreamName]) -> FailedAttempt<'_> {
+    FailedAttempt {
         repeatable: true,
-        answer_begun: false,
+        answer_started: false,
         failed_on,
         deadline: None,
     }
@@ -32,15 +32,15 @@
 fn requests_that_are_not_repeatable_already_answered_in_part_or_late_are_not_retried() {
     let mut budget = RetryBudget::new();
     let now = Duration::from_secs(10);
-    let order = Attempt {
+    let order = FailedAttempt {
         repeatable: false,
         ..attempt(&[])
     };
-    let started = Attempt {
-        answer_begun: true,
+    let started = FailedAttempt {
+        answer_started: true,
         ..attempt(&[])
     };
-    let late = Attempt {
+    let late = FailedAttempt {
         deadline: Some(now),
         ..attempt(&[])
     };
@@ -50,7 +50,7 @@
     );
     expect_that!(
         may_retry(&started, &mut budget, now),
-        err(eq(NoRetry::AnswerBegun))
+        err(eq(NoRetry::AnswerStarted))
     );
     expect_that!(
         may_retry(&late, &mut budget, now),
--- a/crates/decide/tests/route.rs
+++ b/crates/decide/tests/route.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use coltsfootnotch_decide::route::{
-    Candidate, HealthEvent, Nearness, PrefixKey, PrefixMap, UpstreamHealth, WaitingRequest,
-    pick_request, place, usable_slots,
+    Candidate, HealthEvent, PrefixKey, PrefixMap, Proximity, UpstreamHealth, WaitingRequest,
+    choose_request, choose_upstream, usable_slots,
 };
 use coltsfootnotch_types::UpstreamName;
 use googletest::prelude::*;
@@ -20,7 +20,7 @@
 fn candidates<'a>(names: &'a [UpstreamName], in_flight: &[u32]) -> Vec<Candidate<'a>> {
     let of = |(upstream, in_flight): (&'a UpstreamName, &u32)| Candidate {
         upstream,
-        nearness: Nearness::Domain,
+        proximity: Proximity::Domain,
         usable: 8,
         in_flight: *in_flight,
     };
@@ -39,7 +39,7 @@
     let (mut in_flight, mut map) = (vec![0; 4], PrefixMap::new());
     let mut text = String::new();
     for _ in 0..32 {
-        let chosen = place(
+        let chosen = choose_upstream(
             &candidates(&names, &in_flight),
             Some(PREFIX),
             &[],
@@ -48,11 +48,11 @@
         );
         let chosen = chosen.expect("a slot is free");
         in_flight[chosen] += 1;
-        map.on_held(PREFIX, &names[chosen], at(0));
+        map.on_cached(PREFIX, &names[chosen], at(0));
         writeln!(text, "{in_flight:?}").expect("writing to a string succeeds");
     }
     expect_that!(
-        place(
+        choose_upstream(
             &candidates(&names, &in_flight),
             Some(PREFIX),
             &[],
@@ -69,7 +69,7 @@
     let names = upstreams(20);
     let in_flight = vec![0; 20];
     let choose = |map: &PrefixMap| {
-        place(
+        choose_upstream(
             &candidates(&names, &in_flight),
             Some(PREFIX),
             &[],
@@ -80,7 +80,7 @@
     expect_that!(choose(&PrefixMap::new()), eq(choose(&PrefixMap::new())));
     let distinct = (0..100).map(|p| {
         let map = PrefixMap::new();
-        place(
+        choose_upstream(
             &candidates(&names, &in_flight),
             Some(PrefixKey(p)),
             &[],
@@ -96,11 +96,11 @@
 fn a_late_eviction_does_not_undo_a_later_use() {
     let names = upstreams(1);
     let mut map = PrefixMap::new();
-    map.on_held(PREFIX, &names[0], at(500));
+    map.on_cached(PREFIX, &names[0], at(500));
     map.on_evicted(PREFIX, &names[0], at(400));
-    expect_that!(map.holds(PREFIX, &names[0], at(600)), eq(true));
+    expect_that!(map.is_cached(PREFIX, &names[0], at(600)), eq(true));
     map.on_evicted(PREFIX, &names[0], at(550));
-    expect_that!(map.holds(PREFIX, &names[0], at(600)), eq(false));
+    expect_that!(map.is_cached(PREFIX, &names[0], at(600)), eq(false));
 }
 
 #[gtest]
@@ -108,8 +108,11 @@
     let names = upstreams(2);
     let free = candidates(&names, &[0, 5]);
     let map = PrefixMap::new();
-    expect_that!(place(&free, None, &names[..1], &map, at(0)), some(eq(1)));
-    expect_that!(place(&free, None, &names, &map, at(0)), none());
+    expect_that!(
+        choose_upstream(&free, None, &names[..1], &map, at(0)),
+        some(eq(1))
+    );
+    expect_that!(choose_upstream(&free, None, &names, &map, at(0)), none());
 }
 
 #[gtest]
@@ -117,18 +120,18 @@
     // Younger requests with a cached prefix must not starve the oldest one.
     let names = upstreams(1);
     let mut map = PrefixMap::new();
-    map.on_held(PREFIX, &names[0], at(0));
-    let req = |prefix, passed| WaitingRequest {
+    map.on_cached(PREFIX, &names[0], at(0));
+    let req = |prefix, skipped| WaitingRequest {
         prefix: Some(prefix),
-        passed,
+        skipped,
         avoid: &[],
     };
-    let pick = |passed| {
-        let waiting = [req(PrefixKey(1), passed), req(PREFIX, 0)];
-        pick_request(waiting, &names[0], &map, at(0))
+    let choose = |skipped| {
+        let waiting = [req(PrefixKey(1), skipped), req(PREFIX, 0)];
+        choose_request(waiting, &names[0], &map, at(0))
     };
-    expect_that!(pick(3), some(eq(1)));
-    expect_that!(pick(4), some(eq(0)));
+    expect_that!(choose(3), some(eq(1)));
+    expect_that!(choose(4), some(eq(0)));
 }
 
 #[gtest]
@@ -136,13 +139,13 @@
     // With one heartbeat per second, one lost heartbeat lowers the share and two stop new requests.
     let mut health = UpstreamHealth::new(at(0));
     for ms in (0..60_000).step_by(1_000) {
-        health.on_event(HealthEvent::Alive, at(ms));
+        health.on_event(HealthEvent::Heartbeat, at(ms));
     }
     let last = 59_000;
     expect_that!(health.share(at(last + 1_400)), eq(1.0));
     expect_that!(health.share(at(last + 2_100)), near(0.54, 0.01));
     expect_that!(health.share(at(last + 2_800)), eq(0.0));
-    health.on_event(HealthEvent::Alive, at(last + 2_100));
+    health.on_event(HealthEvent::Heartbeat, at(last + 2_100));
     expect_that!(health.share(at(last + 2_100)), eq(1.0));
     health.on_event(HealthEvent::Leaving, at(last + 2_200));
     expect_that!(usable_slots(32, health.share(at(last + 2_200))), eq(0));
@@ -158,7 +161,7 @@
         let back = flap * 25_000;
         let mut slots = Vec::new();
         for ms in (0..20_000).step_by(500) {
-            health.on_event(HealthEvent::Alive, at(back + ms));
+            health.on_event(HealthEvent::Heartbeat, at(back + ms));
             if [1_000, 5_000, 10_000, 19_000].contains(&ms) {
                 slots.push(usable_slots(32, health.share(at(back + ms))));
             }
@@ -172,12 +175,12 @@
 fn a_slow_upstream_loses_and_regains_its_share_gradually() {
     let mut health = UpstreamHealth::new(at(0));
     for ms in (0..20_000).step_by(500) {
-        health.on_event(HealthEvent::Alive, at(ms));
+        health.on_event(HealthEvent::Heartbeat, at(ms));
     }
     let mut text = String::new();
     for (ratio, ms) in [(4.0, 20_000), (4.0, 21_000), (1.0, 22_000), (1.0, 23_000)] {
         for _ in 0..10 {
-            health.on_event(HealthEvent::Alive, at(ms));
+            health.on_event(HealthEvent::Heartbeat, at(ms));
             health.on_event(HealthEvent::Latency(ratio), at(ms));
         }
         let share = health.share(at(ms + 100));
--- a/crates/decide/tests/window.rs
+++ b/crates/decide/tests/window.rs
@@ -86,9 +86,9 @@
             if run.admitted.is_some_and(|at| self.now >= at + PREFILL) {
                 if !run.has_first_token {
                     run.has_first_token = true;
-                    self.window.on_first(run.started, self.now);
+                    self.window.on_first_token(run.started, self.now);
                 }
-                self.window.on_gap(STEP, self.now);
+                self.window.on_token_gap(STEP, self.now);
                 run.tokens_left -= 1;
             }
             if run.tokens_left == 0 {
--- a/crates/router/examples/where_work_waits/main.rs
+++ b/crates/router/examples/where_work_waits/main.rs
@@ -66,7 +66,7 @@
 fn row(name: &str, truth: &Truth, meter: &FairnessMeter, used: f64, messages: f64) {
     println!(
         "| {name} | {} | {:.1} % | {} | {} | {messages:.1} |",
-        meter.largest().map_or(0, |gap| gap.size.to_units().0),
+        meter.largest_gap().map_or(0, |gap| gap.size.to_units().0),
         100.0 * used,
         percentiles(truth, 0..2),
         percentiles(truth, 6..16),
--- a/crates/router/examples/where_work_waits/plain.rs
+++ b/crates/router/examples/where_work_waits/plain.rs
@@ -226,7 +226,8 @@
         self.hosts[s].running -= 1;
         let record = &self.truth.records[job as usize];
         let (source, cost) = (&self.sources[record.source], ServiceUnits(record.cost));
-        self.meter.serve(&source.account, source.weight, cost);
+        self.meter
+            .record_service(&source.account, source.weight, cost);
         if let Some((queue, mut charge)) = self.charges.remove(&job) {
             let ledger = &mut self.queues[queue].ledger;
             ledger.stream(&mut charge, cost);
--- a/crates/router/examples/where_work_waits/queue.rs
+++ b/crates/router/examples/where_work_waits/queue.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use coltsfootnotch_decide::fair::{ChoicePolicy, FairLedger, Waiting};
+use coltsfootnotch_decide::fair::{Backlog, ChoicePolicy, FairLedger};
 use coltsfootnotch_types::prelude::*;
 
 use super::sim::Source;
@@ -43,8 +43,8 @@
         let oldest = jobs.and_then(|jobs| jobs.front());
         let oldest = oldest.map_or(now, |job| arrived(*job));
         let count = jobs.map_or(0, VecDeque::len);
-        let waiting = Waiting::new(count as u32, oldest);
-        self.ledger.set_waiting(pool, account, waiting, now);
+        let waiting = Backlog::new(count as u32, oldest);
+        self.ledger.set_backlog(pool, account, waiting, now);
     }
 
     /// Adds the service given since the last call to the totals.
@@ -62,7 +62,7 @@
             let own = own.get(account).copied().unwrap_or_default();
             (account, ServiceUnits(total.0 - own.0))
         });
-        self.ledger.learn_elsewhere(elsewhere);
+        self.ledger.merge_remote(elsewhere);
     }
 }
 
--- a/crates/router/src/entry/choosing.rs
+++ b/crates/router/src/entry/choosing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfootnotch_decide::route::{Candidate, Nearness, place};
+use coltsfootnotch_decide::route::{Candidate, Proximity, choose_upstream};
 use coltsfootnotch_types::prelude::*;
 
 use super::{EntryCore, PoolView, SidecarView, Waiting};
@@ -28,13 +28,13 @@
             .iter()
             .map(|(_, view, pool)| Candidate {
                 upstream: &view.route,
-                nearness: Nearness::between(&self.domain, &view.domain),
+                proximity: Proximity::between(&self.domain, &view.domain),
                 usable: pool.usable.max(pool.free),
                 in_flight: pool.usable.saturating_sub(pool.free),
             })
             .collect();
         let (prefix, now) = (waiting.prefix_key(), waiting.arrived);
-        let chosen = place(&candidates, prefix, &[], &self.prefixes, now)?;
+        let chosen = choose_upstream(&candidates, prefix, &[], &self.prefixes, now)?;
         Some(open[chosen].0.clone())
     }
 
--- a/crates/router/src/entry/core.rs
+++ b/crates/router/src/entry/core.rs
@@ -235,7 +235,7 @@
         waiting: Waiting,
     ) {
         if let Some((prefix, view)) = waiting.prefix_key().zip(self.sidecars.get(to)) {
-            self.prefixes.on_held(prefix, &view.route, now);
+            self.prefixes.on_cached(prefix, &view.route, now);
         }
         self.concurrency.began(&waiting.account);
         let attempt = AttemptId {
--- a/crates/router/src/entry/messages.rs
+++ b/crates/router/src/entry/messages.rs
@@ -44,7 +44,8 @@
             return;
         };
         for prefix in cached {
-            self.prefixes.on_held(PrefixKey(*prefix), &view.route, now);
+            self.prefixes
+                .on_cached(PrefixKey(*prefix), &view.route, now);
         }
     }
 
--- a/crates/router/src/entry/queue.rs
+++ b/crates/router/src/entry/queue.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use coltsfootnotch_decide::route::{PrefixMap, WaitingRequest, pick_request};
+use coltsfootnotch_decide::route::{PrefixMap, WaitingRequest, choose_request};
 use coltsfootnotch_types::prelude::*;
 
 use super::Waiting;
@@ -77,10 +77,10 @@
             .collect();
         let choices = open.iter().map(|(_, queued)| WaitingRequest {
             prefix: queued.waiting.prefix_key(),
-            passed: queued.passed,
+            skipped: queued.passed,
             avoid: &[],
         });
-        let chosen = pick_request(choices, upstream, prefixes, now)?;
+        let chosen = choose_request(choices, upstream, prefixes, now)?;
         let older: Vec<usize> = open[..chosen].iter().map(|(index, _)| *index).collect();
         let index = open[chosen].0;
         for passed in older {
--- a/crates/router/src/sidecar/core.rs
+++ b/crates/router/src/sidecar/core.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfootnotch_decide::fair::{ChoicePolicy, FairLedger, Waiting};
+use coltsfootnotch_decide::fair::{Backlog, ChoicePolicy, FairLedger};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AccountWait, AttemptId, ContentKey, FromSidecar, ToSidecar};
 
@@ -207,7 +207,7 @@
         for change in changes {
             let (count, oldest) = self.waits.update(now, from, pool, change);
             self.fair
-                .set_waiting(pool, &change.account, Waiting::new(count, oldest), now);
+                .set_backlog(pool, &change.account, Backlog::new(count, oldest), now);
         }
     }
 
@@ -224,8 +224,8 @@
             oldest,
         } in left
         {
-            let waiting = Waiting::new(count, oldest);
-            self.fair.set_waiting(&pool, &account, waiting, now);
+            let waiting = Backlog::new(count, oldest);
+            self.fair.set_backlog(&pool, &account, waiting, now);
         }
     }
 
--- a/crates/router/src/sidecar/pulling.rs
+++ b/crates/router/src/sidecar/pulling.rs
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn unreserve(&mut self, reserved: Reserved) {
-        self.fair.abandon(reserved.charge);
+        self.fair.refund(reserved.charge);
         let (upstream, generation) = (&reserved.upstream, reserved.generation);
         if let Some(slots) = self.upstreams.of_generation(upstream, generation) {
             assert!(slots.reserved > 0, "a slot of {upstream} is freed twice");
--- a/crates/router/src/sidecar/starts.rs
+++ b/crates/router/src/sidecar/starts.rs
@@ -40,7 +40,7 @@
         keep_apart(slots, begin)?;
         if !begin.repeatable && !self.dispatched.dispatch(begin.attempt) {
             // Held on, the place of the suspect that does not start would keep all others out.
-            slots.apart.leave(&suspect_key(&content_key(begin)));
+            slots.apart.release(&suspect_key(&content_key(begin)));
             return Err(NotStartedReason::Duplicate);
         }
         slots.window.on_start(now, more_waits);
@@ -59,7 +59,7 @@
         run.tokens = Some((now, 0));
         let slots = self.upstreams.of_generation(&run.upstream, run.generation);
         if let Some(slots) = slots {
-            slots.window.on_first(run.started, now);
+            slots.window.on_first_token(run.started, now);
         }
     }
 
@@ -78,7 +78,7 @@
         let gap = run.gap(now, tokens);
         let slots = self.upstreams.of_generation(&run.upstream, run.generation);
         if let (Some(gap), Some(slots)) = (gap, slots) {
-            slots.window.on_gap(gap, now);
+            slots.window.on_token_gap(gap, now);
         }
     }
 
@@ -100,7 +100,7 @@
         if let Some(slots) = slots {
             slots.window.on_end(run.started, now, end);
             if !run.suspected_of.is_empty() {
-                slots.apart.leave(&suspect_key(&run.key));
+                slots.apart.release(&suspect_key(&run.key));
             }
             match end {
                 RunEnd::Finished => slots.health.on_event(HealthEvent::Succeeded, now),
@@ -173,7 +173,7 @@
     if begin.suspected_of.is_empty() {
         return Ok(());
     }
-    if slots.apart.enter(&suspect_key(&content_key(begin))) {
+    if slots.apart.try_acquire(&suspect_key(&content_key(begin))) {
         Ok(())
     } else {
         Err(NotStartedReason::OtherSuspect)
--- a/crates/router/src/sidecar/upstreams.rs
+++ b/crates/router/src/sidecar/upstreams.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use coltsfootnotch_decide::crash::ApartSlot;
+use coltsfootnotch_decide::crash::IsolationSlot;
 use coltsfootnotch_decide::route::{HealthEvent, UpstreamHealth, VersionShift, usable_slots};
 use coltsfootnotch_decide::window::{ConcurrencyWindow, WindowTargets};
 use coltsfootnotch_types::prelude::*;
@@ -35,7 +35,7 @@
     /// How much of it the version that it serves has been given yet.
     pub version: VersionShift,
     /// Keeps suspects of crashes apart.
-    pub apart: ApartSlot,
+    pub apart: IsolationSlot,
     /// How many slots are reserved for pulls.
     pub reserved: u32,
     /// Until when its last announcement holds.
@@ -54,7 +54,7 @@
             window: ConcurrencyWindow::new(news.targets),
             health: UpstreamHealth::new(now),
             version: VersionShift::new(1.0),
-            apart: ApartSlot::new(),
+            apart: IsolationSlot::new(),
             reserved: 0,
             live_until: news.live_until,
             leaving: news.leaving,
@@ -75,7 +75,7 @@
     /// is bad has by then been seen to be with little of the work.
     pub fn change_version(&mut self, now: Duration) {
         self.version = VersionShift::new(0.0);
-        self.version.aim(1.0, now);
+        self.version.set_target(1.0, now);
     }
 
     /// Slots that may be given out now.
@@ -97,9 +97,9 @@
             self.health.on_event(HealthEvent::Down, now);
         }
         self.leaving = news.leaving;
-        self.health.on_event(HealthEvent::Alive, now);
+        self.health.on_event(HealthEvent::Heartbeat, now);
         // The first announcement may come before the first configuration, which states the targets.
-        self.window.aim_at(news.targets);
+        self.window.set_targets(news.targets);
         self.window.on_load_report(news.reported, news.queued);
     }
 }
--- a/crates/router/tests/late_binding/scenarios.rs
+++ b/crates/router/tests/late_binding/scenarios.rs
@@ -247,7 +247,7 @@
         let allowed = bound(&options, &sources).gap(Weight::DEFAULT, Weight::DEFAULT);
         let mut sim = Sim::new(options, sources);
         sim.run(10 * MINUTE);
-        let gap = sim.meter.largest().map(|gap| gap.size);
+        let gap = sim.meter.largest_gap().map(|gap| gap.size);
         (gap.expect("two accounts are backlogged"), allowed)
     };
     let (fair, allowed) = gap(ChoicePolicy::Fair);
--- a/crates/router/tests/late_binding/sim/attempts.rs
+++ b/crates/router/tests/late_binding/sim/attempts.rs
@@ -154,7 +154,7 @@
         }
         let source = &self.sources[source];
         self.meter
-            .serve(&source.account, source.weight, ServiceUnits(tokens));
+            .record_service(&source.account, source.weight, ServiceUnits(tokens));
     }
 
     /// Counts the tokens of runs in progress.
--- a/crates/router/tests/late_binding/sim/mod.rs
+++ b/crates/router/tests/late_binding/sim/mod.rs
@@ -296,6 +296,6 @@
         largest: ServiceUnits(largest.unwrap_or(1)),
         slots: (2 * options.sidecars * options.slots) as u32,
         slot_rate: ServiceUnits(options.rate),
-        age: 2 * TICK * RELAY_EVERY as u32 + Duration::from_millis(100),
+        staleness: 2 * TICK * RELAY_EVERY as u32 + Duration::from_millis(100),
     }
 }
--- a/crates/router/tests/late_binding/sim/rounds.rs
+++ b/crates/router/tests/late_binding/sim/rounds.rs
@@ -40,7 +40,7 @@
                 let own = own.get(account).copied().unwrap_or_default();
                 (account, ServiceUnits(total.0.saturating_sub(own.0)))
             });
-            sidecar.core.fair_mut().learn_elsewhere(elsewhere);
+            sidecar.core.fair_mut().merge_remote(elsewhere);
         }
         for sidecar in self.sidecars.iter_mut().filter(|s| s.relayed) {
             for (account, units) in sidecar.core.fair_mut().take_unsent() {
--- a/src/coltsfootnotch/daemon/entry/actor.rs
+++ b/src/coltsfootnotch/daemon/entry/actor.rs
@@ -232,7 +232,7 @@
     }
 
     fn on_expired(&mut self, waiting: &Waiting) {
-        self.admission.on_left(&waiting.pool, &waiting.account);
+        self.admission.on_removed(&waiting.pool, &waiting.account);
         let Some(in_progress) = self.requests.get(waiting.request) else {
             return;
         };
--- a/src/coltsfootnotch/daemon/entry/admission.rs
+++ b/src/coltsfootnotch/daemon/entry/admission.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_decide::admit::{Admission, QueueLimits, RefusalReason};
-use coltsfootnotch_decide::crash::Verdict;
+use coltsfootnotch_decide::crash::RunPolicy;
 use coltsfootnotch_types::prelude::*;
 
 use super::Arrival;
@@ -29,7 +29,7 @@
         if self.life.is_stopping() {
             return Some(Refusal::not_run(RefusalKind::NotReady).retry_after(RETRY_LATER));
         }
-        if let Verdict::Refused { retry_after } = self.suspects.verdict(now, arrival) {
+        if let RunPolicy::Refused { retry_after } = self.suspects.verdict(now, arrival) {
             return Some(Refusal::not_run(RefusalKind::Crashing).retry_after(retry_after));
         }
         if !self.core.serves(&arrival.pool) {
@@ -51,7 +51,7 @@
         let (pool, account) = (&arrival.pool, &arrival.account);
         let configured = arrival.config.account(account.as_str());
         let most = configured.map_or(0, |configured| configured.limits.queue);
-        if self.admission.waiting_of(account) as usize >= most {
+        if self.admission.queued_by(account) as usize >= most {
             let wait = self
                 .admission
                 .expected_wait(pool, account, now)
--- a/src/coltsfootnotch/daemon/entry/arrivals.rs
+++ b/src/coltsfootnotch/daemon/entry/arrivals.rs
@@ -91,7 +91,7 @@
         };
         let (pool, account) = (&in_progress.arrival.pool, &in_progress.arrival.account);
         if self.core.withdraw(pool, account, request).is_some() {
-            self.admission.on_left(pool, account);
+            self.admission.on_removed(pool, account);
         }
     }
 
--- a/src/coltsfootnotch/daemon/entry/outcomes.rs
+++ b/src/coltsfootnotch/daemon/entry/outcomes.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use coltsfootnotch_chart::RequestEvent;
-use coltsfootnotch_decide::retry::{Attempt, may_retry};
+use coltsfootnotch_decide::retry::{FailedAttempt, may_retry};
 use coltsfootnotch_state::{Disowned, Outcome, ProcessId, RecordedBody};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{
@@ -270,9 +270,9 @@
         if delivered {
             in_progress.fire(RequestEvent::AnswerBegun);
         }
-        let attempt = Attempt {
+        let attempt = FailedAttempt {
             repeatable: in_progress.arrival.booking.is_none(),
-            answer_begun: delivered,
+            answer_started: delivered,
             failed_on: &in_progress.failed_on,
             deadline: Some(in_progress.arrival.deadline),
         };
--- a/src/coltsfootnotch/daemon/entry/suspects.rs
+++ b/src/coltsfootnotch/daemon/entry/suspects.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use coltsfootnotch_decide::crash::{
-    Clearance, ContentDigest, CrashDelta, CrashId, CrashReport, CrashWatch, Origin, SuspectKey,
-    Verdict,
+    Clearance, ContentDigest, CrashDelta, CrashId, CrashReport, CrashTracker, Origin, RunPolicy,
+    SuspectKey,
 };
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{ContentKey, CrashNews, CrashRef};
@@ -13,13 +13,13 @@
 
 /// Verdicts on requests by their content, whoever sends them again and through whichever entry.
 pub(super) struct Suspects {
-    watch: CrashWatch,
+    watch: CrashTracker,
 }
 
 impl Suspects {
     pub(super) fn new(host: &HostName, incarnation: Incarnation) -> Self {
         Self {
-            watch: CrashWatch::new(Origin::new(host.clone(), incarnation)),
+            watch: CrashTracker::new(Origin::new(host.clone(), incarnation)),
         }
     }
 
@@ -54,8 +54,8 @@
     }
 
     /// Whether and how a request may run.
-    pub(super) fn verdict(&self, now: Duration, arrival: &Arrival) -> Verdict {
-        self.watch.verdict(&key_of(arrival), now)
+    pub(super) fn verdict(&self, now: Duration, arrival: &Arrival) -> RunPolicy {
+        self.watch.run_policy(&key_of(arrival), now)
     }
 
     /// The crashes that a request is suspected of.
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn tick(&mut self, now: Duration) {
-        self.watch.forget_old(now);
+        self.watch.remove_expired(now);
     }
 }
 
--- a/src/coltsfootnotch/daemon/sidecar/actor.rs
+++ b/src/coltsfootnotch/daemon/sidecar/actor.rs
@@ -315,7 +315,7 @@
             }
             RelayNews::Totals(totals) => {
                 let totals = totals.iter().map(|(account, total)| (account, *total));
-                self.core.fair_mut().learn_elsewhere(totals);
+                self.core.fair_mut().merge_remote(totals);
             }
             RelayNews::ServiceApplied(seq) => self.reports.acknowledged(seq),
             RelayNews::Proposed { id, reply } => self.orders.answered(self.cx.now(), id, &reply),
--- a/src/coltsfootnotch/daemon/sidecar/announced.rs
+++ b/src/coltsfootnotch/daemon/sidecar/announced.rs
@@ -60,8 +60,8 @@
         let config = self.relay.config();
         match config.and_then(|config| config.model(pool.as_str())) {
             Some(model) => WindowTargets {
-                first: model.targets.first_token(),
-                gap: Some(model.targets.between_tokens()),
+                first_token: model.targets.first_token(),
+                token_gap: Some(model.targets.between_tokens()),
             },
             None => WindowTargets::service(SERVICE_LATENCY),
         }
--- a/src/coltsfootnotch/ops/load/recorder.rs
+++ b/src/coltsfootnotch/ops/load/recorder.rs
@@ -217,7 +217,7 @@
     /// The largest fairness gap so far in units at weight 1, and between whom.
     pub(super) fn gap(&self) -> Option<(u64, [String; 2])> {
         let state = self.lock();
-        let gap = state.meter.largest()?;
+        let gap = state.meter.largest_gap()?;
         let (a, b) = &gap.between;
         Some((gap.size.to_units().0, [a.to_string(), b.to_string()]))
     }
@@ -249,7 +249,9 @@
         let ServiceUnits(units) = self.weights.service(input, output);
         state.service[account] += units;
         let LoadAccount { name, weight, .. } = &self.accounts[account];
-        state.meter.serve(name, *weight, ServiceUnits(units));
+        state
+            .meter
+            .record_service(name, *weight, ServiceUnits(units));
     }
 }
 
--- a/src/coltsfootnotch/ops/load/run.rs
+++ b/src/coltsfootnotch/ops/load/run.rs
@@ -180,7 +180,7 @@
         largest: plans.iter().map(cost).max().unwrap_or_default(),
         slots: target.slots(),
         slot_rate: ServiceUnits(slot_rate),
-        age: target.knowledge_age,
+        staleness: target.knowledge_age,
     };
     let smallest = target.accounts.iter().map(|account| account.weight).min();
     let smallest = smallest.unwrap_or(Weight::DEFAULT);
