--- a/crates/decide/tests/retry.rs
+++ b/crates/decide/tests/retry.rs
@@ -1,24 +1,23 @@
-//! Attempts that are made again, and those that are not.
+//! Retry budget and conditions.
 
 use std::time::Duration;
 
-use coltsfootnotch_decide::retry::{Attempt, NoRetry, RetryBudget, may_retry};
+use coltsfootnotch_decide::retry::{FailedAttempt, NoRetry, RetryBudget, may_retry};
 use coltsfootnotch_types::UpstreamName;
 use googletest::prelude::*;
 
-fn attempt(failed_on: &[UpstreamName]) -> Attempt<'_> {
-    Attempt {
+fn attempt(failed_on: &[UpstreamName]) -> FailedAttempt<'_> {
+    FailedAttempt {
         repeatable: true,
-        answer_begun: false,
+        answer_started: false,
         failed_on,
         deadline: None,
     }
 }
 
 #[gtest]
-fn an_outage_adds_a_tenth_to_the_load() {
-    // 1,000 requests succeed, then every attempt fails. Callers send 1,000 more within a second; the
-    // retries stop after 101 instead of adding 2,000 attempts.
+fn retries_add_a_tenth_to_the_load_in_an_outage() {
+    // 1,000 requests succeed, then 1,000 fail; 101 of these are retried.
     let mut budget = RetryBudget::new();
     let now = Duration::from_secs(1);
     for _ in 0..1_000 {
@@ -30,18 +29,18 @@
 }
 
 #[gtest]
-fn what_may_not_be_repeated_or_has_begun_is_never_tried_again() {
+fn requests_that_are_not_repeatable_already_answered_in_part_or_late_are_not_retried() {
     let mut budget = RetryBudget::new();
     let now = Duration::from_secs(10);
-    let order = Attempt {
+    let order = FailedAttempt {
         repeatable: false,
         ..attempt(&[])
     };
-    let begun = Attempt {
-        answer_begun: true,
+    let started = FailedAttempt {
+        answer_started: true,
         ..attempt(&[])
     };
-    let late = Attempt {
+    let late = FailedAttempt {
         deadline: Some(now),
         ..attempt(&[])
     };
@@ -50,8 +49,8 @@
         err(eq(NoRetry::NotRepeatable))
     );
     expect_that!(
-        may_retry(&begun, &mut budget, now),
-        err(eq(NoRetry::AnswerBegun))
+        may_retry(&started, &mut budget, now),
+        err(eq(NoRetry::AnswerStarted))
     );
     expect_that!(
         may_retry(&late, &mut budget, now),
