--- a/crates/consensus/examples/measure/main.rs
+++ b/crates/consensus/examples/measure/main.rs
@@ -50,7 +50,7 @@
         parts.push((id, core, storage));
     }
     let ids: Vec<MemberId> = parts.iter().map(|(id, ..)| id.clone()).collect();
-    parts[0].1.found(Duration::ZERO, ids)?;
+    parts[0].1.bootstrap(Duration::ZERO, ids)?;
 
     let (report_tx, reports) = mpsc::channel();
     let boxes: Vec<_> = parts.iter().map(|_| mpsc::channel()).collect();
--- a/crates/consensus/examples/measure/member.rs
+++ b/crates/consensus/examples/measure/member.rs
@@ -135,7 +135,7 @@
         Action::InstallSnapshot(snapshot) => {
             *state = postcard::from_bytes(&snapshot.data).expect("it can be decoded");
         }
-        Action::Became {
+        Action::RoleChanged {
             role: RoleKind::Leader,
             ..
         } => {
--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -57,7 +57,7 @@
     InstallSnapshot(Snapshot),
     /// Role, term or known leader changed. A leader that stops leading leaves proposals whose
     /// outcome is not known here; they may still commit.
-    Became {
+    RoleChanged {
         /// New role.
         role: RoleKind,
         /// New term.
@@ -66,7 +66,7 @@
         leader: Option<MemberId>,
     },
     /// The members in force changed; connect to these.
-    Members {
+    MembersChanged {
         /// Members by the last entry that states them.
         members: Membership,
     },
--- a/crates/consensus/src/core/mod.rs
+++ b/crates/consensus/src/core/mod.rs
@@ -24,7 +24,7 @@
 use crate::log::Log;
 use crate::outbox::Outbox;
 use crate::{
-    Action, Body, CoreConfig, Entry, FoundRefused, HardState, LogIndex, MemberId, Membership,
+    Action, Body, BootstrapRefused, CoreConfig, Entry, HardState, LogIndex, MemberId, Membership,
     Message, Payload, PersistSeq, Recovered, RoleKind, Snapshot, Term,
 };
 
@@ -76,7 +76,7 @@
 /// let recovered = Recovered::empty(me.clone());
 /// let mut core =
 ///     Core::new(CoreConfig::default(), recovered, Duration::ZERO, &mut rand::rng());
-/// core.found(Duration::ZERO, [me])?;
+/// core.bootstrap(Duration::ZERO, [me])?;
 /// let now = core.next_due();
 /// core.tick(now);
 /// run(&mut core, now);
@@ -180,21 +180,23 @@
     /// the one that remembers.
     ///
     /// # Errors
-    /// [`FoundRefused`] when this member holds entries or is not [`Membership::founder`] of `members`.
-    pub fn found(
+    /// [`BootstrapRefused`] when this member holds entries or is not [`Membership::bootstrap_member`] of `members`.
+    pub fn bootstrap(
         &mut self,
         now: Duration,
         members: impl IntoIterator<Item = MemberId>,
-    ) -> Result<(), FoundRefused> {
+    ) -> Result<(), BootstrapRefused> {
         self.advance(now);
         let members = Membership::of(members);
-        let founder = members.founder().ok_or(FoundRefused::NoMembers)?;
-        if *founder != self.me {
-            let founder = founder.clone();
-            return Err(FoundRefused::NotFounder { founder });
+        let expected = members
+            .bootstrap_member()
+            .ok_or(BootstrapRefused::NoMembers)?;
+        if *expected != self.me {
+            let expected = expected.clone();
+            return Err(BootstrapRefused::NotBootstrapMember { expected });
         }
         if self.log.last_index() > LogIndex(0) {
-            return Err(FoundRefused::NotEmpty);
+            return Err(BootstrapRefused::NotEmpty);
         }
         self.append(Entry {
             index: LogIndex(1),
--- a/crates/consensus/src/core/report.rs
+++ b/crates/consensus/src/core/report.rs
@@ -28,12 +28,12 @@
         let state = (self.role_kind(), self.hard.term, self.leader.clone());
         if state != self.reported {
             let (role, term, leader) = state.clone();
-            self.out.push(Action::Became { role, term, leader });
+            self.out.push(Action::RoleChanged { role, term, leader });
             self.reported = state;
         }
         if self.log.members_index() != self.reported_members {
             let members = self.log.members().clone();
-            self.out.push(Action::Members { members });
+            self.out.push(Action::MembersChanged { members });
             self.reported_members = self.log.members_index();
         }
     }
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -103,18 +103,18 @@
     NoSuccessor,
 }
 
-/// Why a group can't be founded here.
+/// Why a group can't be bootstrapped by this member.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-pub enum FoundRefused {
+pub enum BootstrapRefused {
     /// The member holds entries, so it belongs to a group.
     #[display("this member belongs to a group already")]
     NotEmpty,
-    /// Another member founds the group; see [`Membership::founder`](crate::Membership::founder).
-    #[display("the group is founded by {founder}")]
-    NotFounder {
-        /// The member that founds the group.
+    /// Another member bootstraps the group; see [`Membership::bootstrap_member`](crate::Membership::bootstrap_member).
+    #[display("the group is bootstrapped by {expected}, not by this member")]
+    NotBootstrapMember {
+        /// The member that bootstraps the group.
         #[error(not(source))]
-        founder: MemberId,
+        expected: MemberId,
     },
     /// The list of members is empty.
     #[display("a group needs members")]
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -39,7 +39,9 @@
 pub use crate::config::CoreConfig;
 pub use crate::core::Core;
 pub use crate::entry::{Entry, LogIndex, Payload, Proposal, Term};
-pub use crate::error::{ChangeRefused, FoundRefused, NotLeader, ProposeRefused, TransferRefused};
+pub use crate::error::{
+    BootstrapRefused, ChangeRefused, NotLeader, ProposeRefused, TransferRefused,
+};
 pub use crate::hard_state::HardState;
 pub use crate::member::{DiskId, MemberId};
 pub use crate::membership::{MemberChange, Membership};
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -14,7 +14,7 @@
 
 impl DiskId {
     /// Draws the identity of a new data folder.
-    pub fn draw(rng: &mut impl Rng) -> Self {
+    pub fn random(rng: &mut impl Rng) -> Self {
         Self(rng.random())
     }
 }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -67,10 +67,10 @@
     /// use coltsfootnotch_types::HostName;
     /// let on = |host: &str| MemberId { host: HostName::new(host).unwrap(), disk: DiskId(1) };
     /// let members = Membership::of([on("b"), on("a")]);
-    /// assert_eq!(members.founder(), Some(&on("a")));
+    /// assert_eq!(members.bootstrap_member(), Some(&on("a")));
     /// ```
     #[must_use]
-    pub fn founder(&self) -> Option<&MemberId> {
+    pub fn bootstrap_member(&self) -> Option<&MemberId> {
         self.voters.first()
     }
 
--- a/crates/consensus/src/storage/files.rs
+++ b/crates/consensus/src/storage/files.rs
@@ -38,11 +38,11 @@
 
 /// What becomes of an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum FileOpOutcome {
     /// It is done.
     Proceed,
     /// It is reported done and was not: a disk that lies, or a sync that a test does without.
-    Pretend,
+    Skip,
     /// Only so many bytes are written, then it fails as on a full disk.
     Short(usize),
     /// It fails.
@@ -50,12 +50,12 @@
 }
 
 /// Decides about every operation; outside of tests it lets all proceed.
-pub type Judge = Box<dyn FnMut(FileOp<'_>) -> Verdict + Send>;
+pub type FaultInjector = Box<dyn FnMut(FileOp<'_>) -> FileOpOutcome + Send>;
 
 /// The data folder.
 pub(super) struct Files {
     dir: PathBuf,
-    judge: Judge,
+    injector: FaultInjector,
     /// Held for as long as the folder is in use.
     lock: File,
 }
@@ -94,7 +94,7 @@
 
 impl Files {
     /// Creates the folder where it is missing, and takes its lock.
-    pub(super) fn open(dir: &Path, judge: Judge) -> Result<Self, StorageError> {
+    pub(super) fn open(dir: &Path, injector: FaultInjector) -> Result<Self, StorageError> {
         let name = dir.to_string_lossy();
         fs::create_dir_all(dir).map_err(|e| io_error("create", &name, e))?;
         if let Some(parent) = dir.parent() {
@@ -114,7 +114,7 @@
         }
         Ok(Self {
             dir: dir.to_owned(),
-            judge,
+            injector,
             lock,
         })
     }
@@ -153,14 +153,14 @@
             name: &file.name,
             len: bytes.len(),
         };
-        let written = match (self.judge)(op) {
-            Verdict::Proceed => file.file.write_all(bytes),
-            Verdict::Pretend => Ok(()),
-            Verdict::Short(len) => file
+        let written = match (self.injector)(op) {
+            FileOpOutcome::Proceed => file.file.write_all(bytes),
+            FileOpOutcome::Skip => Ok(()),
+            FileOpOutcome::Short(len) => file
                 .file
                 .write_all(&bytes[..len.min(bytes.len())])
                 .and(Err(io::ErrorKind::StorageFull.into())),
-            Verdict::Fail(kind) => Err(kind.into()),
+            FileOpOutcome::Fail(kind) => Err(kind.into()),
         };
         written.map_err(failed)
     }
@@ -179,10 +179,12 @@
             name: name.clone(),
             source,
         };
-        match (self.judge)(FileOp::Sync { name }) {
-            Verdict::Pretend => return Ok(()),
-            Verdict::Fail(kind) => return Err(failed(kind.into())),
-            Verdict::Proceed | Verdict::Short(_) => file.file.sync_data().map_err(failed)?,
+        match (self.injector)(FileOp::Sync { name }) {
+            FileOpOutcome::Skip => return Ok(()),
+            FileOpOutcome::Fail(kind) => return Err(failed(kind.into())),
+            FileOpOutcome::Proceed | FileOpOutcome::Short(_) => {
+                file.file.sync_data().map_err(failed)?;
+            }
         }
         let found = fs::metadata(self.dir.join(name)).map(|m| m.ino());
         match found {
@@ -196,10 +198,10 @@
             name: "the folder".to_owned(),
             source,
         };
-        match (self.judge)(FileOp::SyncFolder) {
-            Verdict::Pretend => Ok(()),
-            Verdict::Fail(kind) => Err(failed(kind.into())),
-            Verdict::Proceed | Verdict::Short(_) => {
+        match (self.injector)(FileOp::SyncFolder) {
+            FileOpOutcome::Skip => Ok(()),
+            FileOpOutcome::Fail(kind) => Err(failed(kind.into())),
+            FileOpOutcome::Proceed | FileOpOutcome::Short(_) => {
                 let folder = File::open(&self.dir).map_err(failed)?;
                 folder.sync_all().map_err(failed)
             }
@@ -212,20 +214,24 @@
         self.append(&mut file, bytes)?;
         self.sync(&file)?;
         let to = self.dir.join(name);
-        let renamed = match (self.judge)(FileOp::Rename { name }) {
-            Verdict::Fail(kind) => Err(kind.into()),
-            Verdict::Pretend => Ok(()),
-            Verdict::Proceed | Verdict::Short(_) => fs::rename(self.dir.join(&file.name), to),
+        let renamed = match (self.injector)(FileOp::Rename { name }) {
+            FileOpOutcome::Fail(kind) => Err(kind.into()),
+            FileOpOutcome::Skip => Ok(()),
+            FileOpOutcome::Proceed | FileOpOutcome::Short(_) => {
+                fs::rename(self.dir.join(&file.name), to)
+            }
         };
         renamed.map_err(|e| io_error("rename", name, e))?;
         self.sync_folder()
     }
 
     pub(super) fn remove(&mut self, name: &str) -> Result<(), StorageError> {
-        let removed = match (self.judge)(FileOp::Remove { name }) {
-            Verdict::Fail(kind) => Err(kind.into()),
-            Verdict::Pretend => Ok(()),
-            Verdict::Proceed | Verdict::Short(_) => fs::remove_file(self.dir.join(name)),
+        let removed = match (self.injector)(FileOp::Remove { name }) {
+            FileOpOutcome::Fail(kind) => Err(kind.into()),
+            FileOpOutcome::Skip => Ok(()),
+            FileOpOutcome::Proceed | FileOpOutcome::Short(_) => {
+                fs::remove_file(self.dir.join(name))
+            }
         };
         removed.map_err(|e| io_error("remove", name, e))
     }
--- a/crates/consensus/src/storage/mod.rs
+++ b/crates/consensus/src/storage/mod.rs
@@ -34,5 +34,5 @@
 
 pub use self::config::StorageConfig;
 pub use self::error::StorageError;
-pub use self::files::{FileOp, Judge, Verdict};
+pub use self::files::{FaultInjector, FileOp, FileOpOutcome};
 pub use self::store::Storage;
--- a/crates/consensus/src/storage/prepare.rs
+++ b/crates/consensus/src/storage/prepare.rs
@@ -62,7 +62,7 @@
     files.sync_folder()?;
     let member = MemberId {
         host: cfg.host.clone(),
-        disk: DiskId::draw(rng),
+        disk: DiskId::random(rng),
     };
     identity::write(files, &member)
 }
--- a/crates/consensus/src/storage/store.rs
+++ b/crates/consensus/src/storage/store.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::disk::{DiskBatch, DiskEntry, DiskHard, DiskStart, DiskWork};
-use super::files::{Files, Judge, OpenFile, Verdict};
+use super::files::{FaultInjector, FileOpOutcome, Files, OpenFile};
 use super::prepare::{create, remove_unfinished, start_segment};
 use super::recover::{self, Closed};
 use super::{StorageConfig, StorageError, identity, segment, snapshot_file, watermark};
@@ -53,19 +53,19 @@
         cfg: &StorageConfig,
         rng: &mut impl Rng,
     ) -> Result<(Self, Recovered), StorageError> {
-        Self::open_with(cfg, Box::new(|_| Verdict::Proceed), rng)
+        Self::open_with(cfg, Box::new(|_| FileOpOutcome::Proceed), rng)
     }
 
-    /// Like [`Storage::open`], with `judge` deciding about every file operation.
+    /// Like [`Storage::open`], with `injector` deciding about every file operation.
     ///
     /// # Errors
     /// As [`Storage::open`].
     pub fn open_with(
         cfg: &StorageConfig,
-        judge: Judge,
+        injector: FaultInjector,
         rng: &mut impl Rng,
     ) -> Result<(Self, Recovered), StorageError> {
-        let mut files = Files::open(&cfg.dir, judge)?;
+        let mut files = Files::open(&cfg.dir, injector)?;
         remove_unfinished(&mut files)?;
         let names = files.list()?;
         if !names.iter().any(|n| n == identity::NAME) {
@@ -107,7 +107,7 @@
             failed: false,
         };
         storage.note_synced()?;
-        storage.settle()?;
+        storage.sync_watermark()?;
         storage.files.sync_folder()?;
         Ok((storage, found.recovered))
     }
@@ -170,7 +170,7 @@
     ///
     /// # Errors
     /// As [`Storage::sync`].
-    pub fn settle(&mut self) -> Result<(), StorageError> {
+    pub fn sync_watermark(&mut self) -> Result<(), StorageError> {
         self.guarded(|storage| {
             if !storage.watermark_synced {
                 storage.files.sync(&storage.watermark)?;
--- a/crates/consensus/tests/failures.rs
+++ b/crates/consensus/tests/failures.rs
@@ -3,7 +3,7 @@
 mod group;
 
 use coltsfootnotch_consensus::{
-    ChangeRefused, CoreConfig, FoundRefused, LogIndex, MemberChange, MemberId, Proposal,
+    BootstrapRefused, ChangeRefused, CoreConfig, LogIndex, MemberChange, MemberId, Proposal,
     ProposeRefused,
 };
 use googletest::prelude::*;
@@ -306,8 +306,8 @@
             hint: Some(leader.clone())
         })
     );
-    let refused = core.found(now, [other.clone()]);
-    expect_that!(refused, err(eq(&FoundRefused::NotEmpty)));
+    let refused = core.bootstrap(now, [other.clone()]);
+    expect_that!(refused, err(eq(&BootstrapRefused::NotEmpty)));
 
     let core = group.node(&leader).core.as_mut().expect("it runs");
     let limit = small_limits().max_command_bytes;
--- a/crates/consensus/tests/group/checks.rs
+++ b/crates/consensus/tests/group/checks.rs
@@ -27,7 +27,7 @@
                     .map(|d| d[..].try_into().expect("eight bytes"));
                 self.check_apply(id, *index, *term, command.map(u64::from_le_bytes));
             }
-            Action::Became {
+            Action::RoleChanged {
                 role: RoleKind::Leader,
                 term,
                 ..
--- a/crates/consensus/tests/group/files.rs
+++ b/crates/consensus/tests/group/files.rs
@@ -1,6 +1,6 @@
 //! Real files that get the work of one fake disk.
 
-use coltsfootnotch_consensus::storage::{FileOp, Storage, StorageConfig, Verdict};
+use coltsfootnotch_consensus::storage::{FileOp, FileOpOutcome, Storage, StorageConfig};
 use coltsfootnotch_consensus::{Persist, Recovered};
 use coltsfootnotch_types::HostName;
 use rand::SeedableRng;
@@ -33,12 +33,12 @@
     /// What the files hold, after closing them as a crash would.
     pub(crate) fn reopen(&mut self) -> Recovered {
         self.storage = None;
-        let judge = |op: FileOp<'_>| match op {
-            FileOp::Sync { .. } | FileOp::SyncFolder => Verdict::Pretend,
-            _ => Verdict::Proceed,
+        let injector = |op: FileOp<'_>| match op {
+            FileOp::Sync { .. } | FileOp::SyncFolder => FileOpOutcome::Skip,
+            _ => FileOpOutcome::Proceed,
         };
         let rng = &mut StdRng::seed_from_u64(1);
-        let opened = Storage::open_with(&self.cfg, Box::new(judge), rng);
+        let opened = Storage::open_with(&self.cfg, Box::new(injector), rng);
         let (storage, recovered) = opened.expect("the disk is sound");
         self.storage = Some(storage);
         recovered
--- a/crates/consensus/tests/group/node.rs
+++ b/crates/consensus/tests/group/node.rs
@@ -86,7 +86,8 @@
 
     pub(crate) fn found(&mut self, members: Vec<MemberId>) {
         let core = self.core.as_mut().expect("it runs");
-        core.found(Duration::ZERO, members).expect("it is empty");
+        core.bootstrap(Duration::ZERO, members)
+            .expect("it is empty");
     }
 
     pub(crate) fn receive(&mut self, now_ms: u64, from: &MemberId, msg: Message) {
--- a/crates/consensus/tests/storage/folder.rs
+++ b/crates/consensus/tests/storage/folder.rs
@@ -4,7 +4,9 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use coltsfootnotch_consensus::storage::{FileOp, Judge, Storage, StorageConfig, Verdict};
+use coltsfootnotch_consensus::storage::{
+    FaultInjector, FileOp, FileOpOutcome, Storage, StorageConfig,
+};
 use coltsfootnotch_consensus::{
     Entry, HardState, LogIndex, Payload, Persist, PersistSeq, PersistWork, Recovered, Snapshot,
     SnapshotMeta, Term,
@@ -16,20 +18,22 @@
 
 pub(crate) type Opened = std::result::Result<(Storage, Recovered), String>;
 
-pub(crate) fn open_with(dir: &Path, judge: Judge) -> Opened {
+pub(crate) fn open_with(dir: &Path, injector: FaultInjector) -> Opened {
     let mut cfg = StorageConfig::new(dir, HostName::new("control-0").expect("a valid name"));
     cfg.segment_bytes = 400;
-    let opened = Storage::open_with(&cfg, judge, &mut StdRng::seed_from_u64(1));
+    let opened = Storage::open_with(&cfg, injector, &mut StdRng::seed_from_u64(1));
     opened.map_err(|e| e.to_string())
 }
 
 pub(crate) fn open(dir: &Path) -> Opened {
-    open_with(dir, Box::new(|_| Verdict::Proceed))
+    open_with(dir, Box::new(|_| FileOpOutcome::Proceed))
 }
 
 /// Lets operations proceed until the one that `fails` picks.
-pub(crate) fn failing(fails: impl Fn(FileOp<'_>) -> Option<Verdict> + Send + 'static) -> Judge {
-    Box::new(move |op| fails(op).unwrap_or(Verdict::Proceed))
+pub(crate) fn failing(
+    fails: impl Fn(FileOp<'_>) -> Option<FileOpOutcome> + Send + 'static,
+) -> FaultInjector {
+    Box::new(move |op| fails(op).unwrap_or(FileOpOutcome::Proceed))
 }
 
 pub(crate) fn entry(index: u64, term: u64) -> Entry {
--- a/crates/consensus/tests/storage/main.rs
+++ b/crates/consensus/tests/storage/main.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 
 use coltsfootnotch_consensus::Term;
-use coltsfootnotch_consensus::storage::{FileOp, Storage, StorageConfig, Verdict};
+use coltsfootnotch_consensus::storage::{FileOp, FileOpOutcome, Storage, StorageConfig};
 use coltsfootnotch_types::HostName;
 use folder::{append, change, failing, files_like, five_synced, last_index, log_file};
 use folder::{open, open_with, snapshot};
@@ -101,19 +101,20 @@
 // sound disk everything acknowledged is there.
 #[gtest]
 fn a_failing_disk_stops_the_storage_for_good() {
-    type Fault = fn(FileOp<'_>) -> Option<Verdict>;
+    type Fault = fn(FileOp<'_>) -> Option<FileOpOutcome>;
     let faults: [(&str, Fault); 4] = [
         ("failed sync", |op| {
-            matches!(op, FileOp::Sync { .. }).then_some(Verdict::Fail(ErrorKind::Other))
+            matches!(op, FileOp::Sync { .. }).then_some(FileOpOutcome::Fail(ErrorKind::Other))
         }),
         ("full disk", |op| {
-            matches!(op, FileOp::Write { .. }).then_some(Verdict::Fail(ErrorKind::StorageFull))
+            matches!(op, FileOp::Write { .. })
+                .then_some(FileOpOutcome::Fail(ErrorKind::StorageFull))
         }),
         ("short write", |op| {
-            matches!(op, FileOp::Write { .. }).then_some(Verdict::Short(30))
+            matches!(op, FileOp::Write { .. }).then_some(FileOpOutcome::Short(30))
         }),
         ("write error", |op| {
-            matches!(op, FileOp::Write { .. }).then_some(Verdict::Fail(ErrorKind::Other))
+            matches!(op, FileOp::Write { .. }).then_some(FileOpOutcome::Fail(ErrorKind::Other))
         }),
     ];
     let mut answers = BTreeMap::new();
@@ -121,14 +122,14 @@
         let dir = five_synced();
         let broken = Arc::new(Mutex::new(false));
         let switch = broken.clone();
-        let judge = failing(move |op| {
+        let injector = failing(move |op| {
             switch
                 .lock()
                 .expect("no panic")
                 .then(|| fault(op))
                 .flatten()
         });
-        let (mut storage, _) = open_with(dir.path(), judge).expect("the disk is sound at first");
+        let (mut storage, _) = open_with(dir.path(), injector).expect("the disk is sound at first");
         *broken.lock().expect("no panic") = true;
         let first = storage
             .run(&[append(6, [6])])
@@ -192,12 +193,12 @@
         let dir = five_synced();
         let left = Arc::new(Mutex::new(u32::MAX));
         let count = left.clone();
-        let judge = failing(move |_| {
+        let injector = failing(move |_| {
             let mut left = count.lock().expect("no panic");
             *left = left.saturating_sub(1);
-            (*left == 0).then_some(Verdict::Fail(ErrorKind::Other))
+            (*left == 0).then_some(FileOpOutcome::Fail(ErrorKind::Other))
         });
-        let (mut storage, _) = open_with(dir.path(), judge).expect("it recovers");
+        let (mut storage, _) = open_with(dir.path(), injector).expect("it recovers");
         *left.lock().expect("no panic") = operations + 1;
         let saved = storage.run(&[snapshot(6, 9, true)]).is_ok();
         drop(storage);
@@ -225,7 +226,7 @@
         kept in 0.0..1.0f64,
     ) {
         let dir = tempfile::tempdir().expect("a temporary folder");
-        let unsynced = failing(|op| matches!(op, FileOp::Sync { .. }).then_some(Verdict::Pretend));
+        let unsynced = failing(|op| matches!(op, FileOp::Sync { .. }).then_some(FileOpOutcome::Skip));
         let (mut storage, _) = open_with(dir.path(), unsynced).expect("an empty folder opens");
         let (mut last, mut seq, mut voted) = (0, 0, 0);
         for (count, snap) in batches {
--- a/examples/embed_log.rs
+++ b/examples/embed_log.rs
@@ -64,7 +64,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut ids = vec![];
     for host in ["colombo-1", "gampaha-1", "kalutara-1"] {
-        let disk = DiskId::draw(&mut rng);
+        let disk = DiskId::random(&mut rng);
         ids.push(MemberId {
             host: HostName::new(host)?,
             disk,
@@ -86,7 +86,7 @@
         .iter_mut()
         .min_by(|a, b| a.id.cmp(&b.id))
         .ok_or("no member")?;
-    founder.core.found(Duration::ZERO, ids)?;
+    founder.core.bootstrap(Duration::ZERO, ids)?;
     Ok(members)
 }
 
--- a/src/coltsfootnotch/daemon/control/actor.rs
+++ b/src/coltsfootnotch/daemon/control/actor.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::{self, SyncSender};
 use std::time::Duration;
 
-use coltsfootnotch_consensus::storage::{Storage, StorageConfig, Verdict};
+use coltsfootnotch_consensus::storage::{FileOpOutcome, Storage, StorageConfig};
 use coltsfootnotch_consensus::{DiskId, MemberId, Recovered};
 use coltsfootnotch_fabric::{Endpoint, PeerId, Traffic};
 use coltsfootnotch_membership::{Epoch, RelayId};
@@ -160,7 +160,7 @@
 ) -> Result<Opened, ControlError> {
     let storage_cfg = StorageConfig::new(cfg.data.join(LOG_FOLDER), host.clone());
     let judge = cfg.judge.take();
-    let judge = judge.unwrap_or_else(|| Box::new(|_| Verdict::Proceed));
+    let judge = judge.unwrap_or_else(|| Box::new(|_| FileOpOutcome::Proceed));
     let (storage, recovered) =
         Storage::open_with(&storage_cfg, judge, &mut rand::rng()).map_err(ControlError::Open)?;
     let epoch = epoch::next(&cfg.data).map_err(ControlError::Epoch)?;
@@ -182,7 +182,7 @@
 fn without_disk(host: &HostName) -> Opened {
     let member = MemberId {
         host: host.clone(),
-        disk: DiskId::draw(&mut rand::rng()),
+        disk: DiskId::random(&mut rand::rng()),
     };
     Opened {
         recovered: Recovered::empty(member),
--- a/src/coltsfootnotch/daemon/control/config.rs
+++ b/src/coltsfootnotch/daemon/control/config.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use coltsfootnotch_consensus::CoreConfig;
-use coltsfootnotch_consensus::storage::Judge;
+use coltsfootnotch_consensus::storage::FaultInjector;
 use coltsfootnotch_fabric::Credentials;
 use coltsfootnotch_manifest::Settings;
 use coltsfootnotch_membership::Timing;
@@ -51,7 +51,7 @@
     pub batch_ledger: bool,
     /// Decides about every file operation of the log, for tests of failing disks; all proceed
     /// without it.
-    pub judge: Option<Judge>,
+    pub judge: Option<FaultInjector>,
 }
 
 /// Bytes of the log after which a snapshot replaces them, on hosts that find each other. Their disks
--- a/src/coltsfootnotch/daemon/control/daemon/upkeep.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/upkeep.rs
@@ -61,7 +61,7 @@
     /// Writes the first entry of the group. Refused, it stays without a group, which an operator must see.
     pub(in crate::daemon::control) fn found(&mut self, now: Duration, members: Membership) {
         let voters = members.voters.len();
-        match self.replica.core_mut().found(now, members.voters) {
+        match self.replica.core_mut().bootstrap(now, members.voters) {
             Ok(()) => self
                 .host
                 .log(&events::GROUP_FOUNDED, &[("voters", &voters)]),
--- a/src/coltsfootnotch/daemon/control/disk.rs
+++ b/src/coltsfootnotch/daemon/control/disk.rs
@@ -109,7 +109,7 @@
     loop {
         let done = match rx.recv_timeout(SETTLE_AFTER) {
             Ok(first) => files.take_up(first, rx),
-            Err(RecvTimeoutError::Timeout) => files.storage.settle().map(|()| None),
+            Err(RecvTimeoutError::Timeout) => files.storage.sync_watermark().map(|()| None),
             Err(RecvTimeoutError::Disconnected) => return,
         };
         match done {
--- a/src/coltsfootnotch/daemon/control/founding.rs
+++ b/src/coltsfootnotch/daemon/control/founding.rs
@@ -3,7 +3,7 @@
 //! A group founded beside one that still remembers would hand out numbers twice and forget bookings,
 //! so a member founds only when nothing can remember: every control host of the settings is connected
 //! at once, each with a data folder that holds no entry, each with the same list in its settings, and
-//! no host of the fleet reports a configuration in force. Only the [founder](Membership::founder) of the
+//! no host of the fleet reports a configuration in force. Only the [founder](Membership::bootstrap_member) of the
 //! listed members founds. A host whose disk was lost later meets others that are not empty, and waits to be admitted by an
 //! operator.
 
@@ -78,7 +78,7 @@
     /// The members of the group to found now, if this member is to found one.
     pub fn due(&mut self, now: Duration, is_config_in_force: bool) -> Option<Membership> {
         let members = Membership::of(self.all().map(|h| h.member.clone()));
-        let is_founder = members.founder() == Some(&self.hello.member);
+        let is_founder = members.bootstrap_member() == Some(&self.hello.member);
         if is_config_in_force || !is_founder || !self.all_agree() {
             self.holds_since = None;
             return None;
--- a/src/coltsfootnotch/daemon/control/replica/apply.rs
+++ b/src/coltsfootnotch/daemon/control/replica/apply.rs
@@ -28,8 +28,8 @@
                 self.core.snapshot_taken(now, index, data);
             }
             Action::InstallSnapshot(snapshot) => self.install(&snapshot)?,
-            Action::Became { role, term, leader } => self.became(role, term, leader),
-            Action::Members { members } => self.effects.push(Effect::Members(members)),
+            Action::RoleChanged { role, term, leader } => self.became(role, term, leader),
+            Action::MembersChanged { members } => self.effects.push(Effect::Members(members)),
         }
         Ok(())
     }
--- a/src/coltsfootnotch/daemon/control/seeded/founding.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/founding.rs
@@ -1,7 +1,7 @@
 //! When a group of control hosts that found each other is founded.
 //!
 //! A second group beside one that still remembers would forget what was acknowledged. So a host
-//! founds only if it is the [founder](Membership::founder) of the seeds that have a disk, its settings say
+//! founds only if it is the [founder](Membership::bootstrap_member) of the seeds that have a disk, its settings say
 //! that the whole fleet starts for the first time, and every seed is connected, says the same, names the
 //! same seeds and holds no entry. A host that lost its disk is started with other settings and never
 //! founds; it waits to be admitted.
@@ -107,7 +107,7 @@
         }
     }
     let members = Membership::of(keepers);
-    match members.founder() {
+    match members.bootstrap_member() {
         None => Err(NotFounding::NoDisk),
         Some(founder) if founder != own.member => Err(NotFounding::OtherFounder(founder.clone())),
         Some(_) => Ok(members),
--- a/tests/testsuite/control/disk.rs
+++ b/tests/testsuite/control/disk.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use coltsfootnotch::daemon::control::{ControlConfig, ControlError};
-use coltsfootnotch_consensus::storage::{FileOp, StorageError, Verdict};
+use coltsfootnotch_consensus::storage::{FileOp, FileOpOutcome, StorageError};
 use coltsfootnotch_state::ConfigReply;
 use coltsfootnotch_types::prelude::*;
 use googletest::prelude::*;
@@ -15,7 +15,7 @@
 
 /// A group whose first member's disk fails with `verdict` once the switch is on.
 fn group_with_failing_disk(
-    verdict: Verdict,
+    verdict: FileOpOutcome,
     wanted: fn(FileOp<'_>) -> bool,
 ) -> (Group, Arc<AtomicBool>) {
     let mut group = Group::new(|_: &mut ControlConfig| {});
@@ -26,7 +26,7 @@
         if switch.load(Ordering::Relaxed) && wanted(op) {
             verdict
         } else {
-            Verdict::Proceed
+            FileOpOutcome::Proceed
         }
     }));
     group.start_with(0, cfg);
@@ -60,7 +60,8 @@
 #[test]
 fn a_failed_sync_ends_the_daemon_and_loses_nothing() {
     let is_sync = |op: FileOp<'_>| matches!(op, FileOp::Sync { .. });
-    let (mut group, fails) = group_with_failing_disk(Verdict::Fail(ErrorKind::Other), is_sync);
+    let (mut group, fails) =
+        group_with_failing_disk(FileOpOutcome::Fail(ErrorKind::Other), is_sync);
     let error = end_of_first_member(&mut group, &fails);
     let is_failed_sync =
         |e: &ControlError| matches!(e, ControlError::Write(StorageError::SyncFailed { .. }));
@@ -77,7 +78,7 @@
 #[test]
 fn a_full_disk_ends_the_daemon_and_loses_nothing() {
     let is_write = |op: FileOp<'_>| matches!(op, FileOp::Write { .. });
-    let (mut group, fails) = group_with_failing_disk(Verdict::Short(5), is_write);
+    let (mut group, fails) = group_with_failing_disk(FileOpOutcome::Short(5), is_write);
     let error = end_of_first_member(&mut group, &fails);
     let is_full = |e: &ControlError| matches!(e, ControlError::Write(StorageError::Full { .. }));
     assert_that!(error, predicate(is_full));
--- a/tests/testsuite/control_fleet/actions.rs
+++ b/tests/testsuite/control_fleet/actions.rs
@@ -36,8 +36,8 @@
                     process.applied = state.expect("it can be decoded");
                 }
             }
-            Action::Members { members } => self.tell_members(index, &members),
-            Action::Became {
+            Action::MembersChanged { members } => self.tell_members(index, &members),
+            Action::RoleChanged {
                 role: RoleKind::Leader,
                 term,
                 ..
--- a/tests/testsuite/control_fleet/host.rs
+++ b/tests/testsuite/control_fleet/host.rs
@@ -145,7 +145,7 @@
             return false;
         };
         self.core
-            .found(now, members.voters)
+            .bootstrap(now, members.voters)
             .expect("the log takes the same host for the founder");
         true
     }
--- a/tests/testsuite/seeded.rs
+++ b/tests/testsuite/seeded.rs
@@ -112,7 +112,7 @@
     let cfg = CoreConfig::default();
     let mut core = Core::new(cfg, recovered, at(0), &mut rand::rng());
     let members = hosts.iter().map(|h| h.member.clone());
-    core.found(at(0), members).is_ok()
+    core.bootstrap(at(0), members).is_ok()
 }
 
 fn permutations(count: u8) -> Vec<Vec<u8>> {
