--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Rules that random schedules seldom put to the test, tried on one core with the messages of the
-//! others written by hand.
+//! Safety rules that random schedules seldom exercise, tested on one core with scripted messages
+//! from the other members.
 
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
     }
 }
 
-/// Member `a` of `a`, `b` and `c`, with an entry of term 1 that may not be committed.
+/// State of member `a` in a group of `a`, `b` and `c`, with an entry of term 1 that is not known to
+/// be committed.
 fn recovered() -> Recovered {
     let meta = SnapshotMeta {
         index: LogIndex(1),
@@ -55,7 +56,7 @@
         Self { core, now }
     }
 
-    fn hear(&mut self, from: &str, term: u64, body: Body) -> Vec<Action> {
+    fn receive(&mut self, from: &str, term: u64, body: Body) -> Vec<Action> {
         let msg = Message {
             to: member("a"),
             term: Term(term),
@@ -65,7 +66,7 @@
         self.sync()
     }
 
-    /// Syncs whatever is to be synced; returns all other actions.
+    /// Completes all storage work; returns the other actions.
     fn sync(&mut self) -> Vec<Action> {
         let mut others = Vec::new();
         loop {
@@ -82,11 +83,11 @@
         }
     }
 
-    /// Makes `a` the leader of term 2, whose first entry is the third of the log.
-    fn lead(&mut self) {
+    /// Makes `a` the leader of term 2, whose first entry has index 3.
+    fn become_leader(&mut self) {
         self.now = self.core.next_due();
         self.core.tick(self.now);
-        self.hear(
+        self.receive(
             "b",
             1,
             Body::PreVoteReply {
@@ -94,22 +95,22 @@
                 granted: true,
             },
         );
-        self.hear("b", 2, Body::VoteReply { granted: true });
+        self.receive("b", 2, Body::VoteReply { granted: true });
         assert!(self.core.is_leader());
     }
 
-    fn appended(&mut self, from: &str, matched: u64) {
+    fn receive_appended(&mut self, from: &str, matched: u64) {
         let matched = LogIndex(matched);
-        self.hear(from, 2, Body::Appended { matched, round: 1 });
+        self.receive(from, 2, Body::Appended { matched, round: 1 });
     }
 
-    fn asks_for_vote(&mut self, transfer: bool) -> Term {
+    fn receive_vote_request(&mut self, transfer: bool) -> Term {
         let body = Body::Vote {
             last_index: LogIndex(9),
             last_term: Term(2),
             transfer,
         };
-        self.hear("b", 3, body);
+        self.receive("b", 3, body);
         self.core.status().term
     }
 }
@@ -121,28 +122,27 @@
     }
 }
 
-// An entry of an earlier term reaches a majority, and its proposer is told that it counts. Then a
-// leader of a term between, which never saw it, comes back, wins and replaces it. So it counts
-// only when an entry of the leader's own term is on a majority, which rules that leader out.
+// Guards against acknowledging an entry of an earlier term that another leader may still replace
+// (Raft paper, figure 8).
 #[gtest]
 fn an_entry_of_an_earlier_term_is_not_committed_alone() {
     let mut script = Script::start();
-    script.lead();
-    script.appended("b", 2);
+    script.become_leader();
+    script.receive_appended("b", 2);
     expect_that!(script.core.status().commit, eq(LogIndex(1)));
-    script.appended("b", 3);
+    script.receive_appended("b", 3);
     expect_that!(script.core.status().commit, eq(LogIndex(3)));
 }
 
-// Two changes of members under way at once, or one beside a predecessor's that the new leader
-// doesn't know to be committed: two majorities need not meet, and both commit something else.
+// Guards against concurrent membership changes, including one that a previous leader started: the
+// majorities before and after them need not overlap.
 #[gtest]
-fn members_change_one_at_a_time() {
+fn membership_changes_one_at_a_time() {
     let mut script = Script::start();
-    script.lead();
+    script.become_leader();
     let refused = script.core.change_members(script.now, &add("d"));
     expect_that!(refused, err(eq(&ChangeRefused::Unfinished)));
-    script.appended("b", 3);
+    script.receive_appended("b", 3);
     expect_that!(
         script.core.change_members(script.now, &add("d")),
         ok(anything())
@@ -151,13 +151,12 @@
     expect_that!(refused, err(eq(&ChangeRefused::Unfinished)));
 }
 
-// A leader serves reads on its lease while a candidate that hears only some members asks for
-// votes. A member that hears the leader, or that did so in the run before, refuses and stays in
-// its term: its vote would elect another leader inside the lease. A transfer is the leader's wish.
+// Guards against electing another leader during a lease: a member that received from the leader
+// within the election timeout, even in its previous run, votes only in a leadership transfer.
 #[gtest]
-fn a_member_that_hears_its_leader_elects_no_other() {
+fn a_member_with_a_live_leader_votes_only_in_a_transfer() {
     let mut script = Script::start();
-    expect_that!(script.asks_for_vote(false), eq(Term(1)));
+    expect_that!(script.receive_vote_request(false), eq(Term(1)));
     script.now = CoreConfig::default().election_timeout;
     let heartbeat = Body::Append {
         prev_index: LogIndex(2),
@@ -166,19 +165,19 @@
         commit: LogIndex(0),
         round: 1,
     };
-    script.hear("c", 2, heartbeat);
+    script.receive("c", 2, heartbeat);
     script.now += CoreConfig::default().election_timeout / 2;
-    expect_that!(script.asks_for_vote(false), eq(Term(2)));
-    expect_that!(script.asks_for_vote(true), eq(Term(3)));
+    expect_that!(script.receive_vote_request(false), eq(Term(2)));
+    expect_that!(script.receive_vote_request(true), eq(Term(3)));
 }
 
-// A leader offers to hand over, and the offer is late. The other may take it up at any time in
-// this term, and the followers won't refuse; so no lease holds from then on.
+// Guards against lease reads after a leadership transfer was requested: the request may arrive at
+// any time in the term, and the followers accept the resulting election.
 #[gtest]
-fn a_leader_that_offered_to_hand_over_has_no_lease() {
+fn a_leader_that_requested_a_transfer_has_no_lease() {
     let mut script = Script::start();
-    script.lead();
-    script.appended("b", 3);
+    script.become_leader();
+    script.receive_appended("b", 3);
     expect_that!(script.core.status().lease_until, some(gt(script.now)));
     script
         .core
@@ -187,7 +186,7 @@
     script.now += CoreConfig::default().heartbeat;
     script.core.tick(script.now);
     script.sync();
-    script.hear(
+    script.receive(
         "b",
         2,
         Body::Appended {
@@ -198,16 +197,22 @@
     expect_that!(script.core.status().lease_until, none());
 }
 
-// A member answers that it holds an entry, and loses power before its disk does. It must answer
-// after its sync, count its own log after its sync, and apply nothing that it could forget.
+// Guards against counting or applying entries that a power failure can still remove from the local
+// disk.
 #[gtest]
-fn what_is_not_synced_is_neither_counted_nor_applied() {
+fn unsynced_entries_are_neither_counted_nor_applied() {
     let mut script = Script::start();
-    script.lead();
-    script.appended("b", 3);
-    let placed = script.core.propose(script.now, [8]).expect("it leads");
+    script.become_leader();
+    script.receive_appended("b", 3);
+    let proposal = script
+        .core
+        .propose(script.now, [8])
+        .expect("the member leads");
     let first = script.core.take_actions();
-    script.core.propose(script.now, [9]).expect("it leads");
+    script
+        .core
+        .propose(script.now, [9])
+        .expect("the member leads");
     let second = script.core.take_actions();
     let persist = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
@@ -215,10 +220,10 @@
             _ => None,
         })
     };
-    let seq = persist(&first).expect("the first is to be synced");
+    let seq = persist(&first).expect("the first command is persisted");
     expect_that!(persist(&second), some(gt(seq)));
     script.core.synced(script.now, seq);
-    let next = LogIndex(placed.index.0 + 1);
+    let next = LogIndex(proposal.index.0 + 1);
     let matched = Body::Appended {
         matched: next,
         round: 1,
@@ -229,8 +234,8 @@
         body: matched,
     };
     script.core.step(script.now, &member("b"), msg.clone());
-    expect_that!(script.core.status().commit, eq(placed.index));
+    expect_that!(script.core.status().commit, eq(proposal.index));
     script.core.step(script.now, &member("c"), msg);
     expect_that!(script.core.status().commit, eq(next));
-    expect_that!(script.core.status().applied, eq(placed.index));
+    expect_that!(script.core.status().applied, eq(proposal.index));
 }
--- a/crates/consensus/tests/storage/folder.rs
+++ b/crates/consensus/tests/storage/folder.rs
@@ -1,4 +1,4 @@
-//! A data folder for the tests, and ways to damage it.
+//! Test helpers: data folders, storage work and damaged files.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -29,7 +29,7 @@
     open_with(dir, Box::new(|_| FileOpOutcome::Proceed))
 }
 
-/// Lets operations proceed until the one that `fails` picks.
+/// Injects the outcomes that `fails` returns; other operations proceed.
 pub(crate) fn failing(
     fails: impl Fn(FileOp<'_>) -> Option<FileOpOutcome> + Send + 'static,
 ) -> FaultInjector {
@@ -79,37 +79,39 @@
     }
 }
 
-/// A folder in which entries 1 to 5 were synced, one after the other.
-pub(crate) fn five_synced() -> TempDir {
-    let dir = tempfile::tempdir().expect("a temporary folder");
+/// A folder with entries 1 to 5, each synced separately.
+pub(crate) fn folder_with_five_entries() -> TempDir {
+    let dir = tempfile::tempdir().expect("a temporary folder can be created");
     let (mut storage, _) = open(dir.path()).expect("an empty folder opens");
     for index in 1..=5 {
         storage
             .run(&[append(index, [index])])
-            .expect("it is synced");
+            .expect("the entry is synced");
     }
     dir
 }
 
-pub(crate) fn files_like(dir: &Path, part: &str) -> Vec<PathBuf> {
-    let items = fs::read_dir(dir).expect("the folder can be listed");
-    let mut paths: Vec<_> = items.map(|i| i.expect("an item").path()).collect();
+pub(crate) fn files_containing(dir: &Path, part: &str) -> Vec<PathBuf> {
+    let entries = fs::read_dir(dir).expect("the folder can be listed");
+    let mut paths: Vec<_> = entries
+        .map(|e| e.expect("the folder can be listed").path())
+        .collect();
     paths.retain(|p| p.to_string_lossy().contains(part));
     paths.sort();
     paths
 }
 
-pub(crate) fn change(path: &Path, edit: impl FnOnce(&mut Vec<u8>)) {
+pub(crate) fn edit_file(path: &Path, edit: impl FnOnce(&mut Vec<u8>)) {
     let mut bytes = fs::read(path).expect("the file can be read");
     edit(&mut bytes);
     fs::write(path, bytes).expect("the file can be written");
 }
 
-/// The segment with the entries; the ones after it are empty.
+/// The segment with the entries; later segments are empty.
 pub(crate) fn log_file(dir: &Path) -> PathBuf {
-    let mut segments = files_like(dir, "log-");
-    segments.sort_by_key(|p| fs::metadata(p).expect("it is there").len());
-    segments.pop().expect("there is a segment")
+    let mut segments = files_containing(dir, "log-");
+    segments.sort_by_key(|p| fs::metadata(p).expect("the file exists").len());
+    segments.pop().expect("the folder has a segment")
 }
 
 pub(crate) fn last_index(recovered: &Recovered) -> u64 {
