--- a/src/coltsfootnotch/daemon/control/bootstrap.rs
+++ b/src/coltsfootnotch/daemon/control/bootstrap.rs
@@ -3,7 +3,7 @@
 //! A second group beside an existing one could issue numbers twice and lose bookings. A member therefore
 //! bootstraps only when every listed control host is connected, has an empty data folder and the same
 //! list, and no host of the fleet reports a configuration in force. Only the
-//! [bootstrap member](Membership::founder) does so. A host that lost its disk later finds non-empty peers
+//! [bootstrap member](Membership::bootstrap_member) does so. A host that lost its disk later finds non-empty peers
 //! and waits to be admitted by an operator.
 
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
     /// The members of the new group, if this member has to bootstrap it now.
     pub fn due(&mut self, now: Duration, is_config_in_force: bool) -> Option<Membership> {
         let members = Membership::of(self.all().map(|h| h.member.clone()));
-        let is_bootstrap_member = members.founder() == Some(&self.hello.member);
+        let is_bootstrap_member = members.bootstrap_member() == Some(&self.hello.member);
         if is_config_in_force || !is_bootstrap_member || !self.has_agreement() {
             self.ready_since = None;
             return None;
--- a/src/coltsfootnotch/daemon/control/config.rs
+++ b/src/coltsfootnotch/daemon/control/config.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use coltsfootnotch_consensus::CoreConfig;
-use coltsfootnotch_consensus::storage::Judge;
+use coltsfootnotch_consensus::storage::FaultInjector;
 use coltsfootnotch_fabric::Credentials;
 use coltsfootnotch_manifest::Settings;
 use coltsfootnotch_membership::Timing;
@@ -50,7 +50,7 @@
     pub batch_ledger: bool,
     /// Injects faults into file operations of the log, for tests; without it, every operation
     /// proceeds.
-    pub fault_injector: Option<Judge>,
+    pub fault_injector: Option<FaultInjector>,
 }
 
 /// Log bytes after which a snapshot is taken on hosts that discover each other. Their disks and memory
--- a/src/coltsfootnotch/daemon/control/daemon/maintenance.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/maintenance.rs
@@ -65,7 +65,7 @@
         members: Membership,
     ) {
         let voters = members.voters.len();
-        match self.replica.core_mut().found(now, members.voters) {
+        match self.replica.core_mut().bootstrap(now, members.voters) {
             Ok(()) => self
                 .host
                 .log(&events::GROUP_FOUNDED, &[("voters", &voters)]),
--- a/src/coltsfootnotch/daemon/control/replica/apply.rs
+++ b/src/coltsfootnotch/daemon/control/replica/apply.rs
@@ -35,8 +35,10 @@
                 self.core.snapshot_taken(now, index, data);
             }
             Action::InstallSnapshot(snapshot) => self.install(&snapshot)?,
-            Action::Became { role, term, leader } => self.on_role_change(role, term, leader),
-            Action::Members { members } => self.effects.push(Effect::MembersChanged(members)),
+            Action::RoleChanged { role, term, leader } => self.on_role_change(role, term, leader),
+            Action::MembersChanged { members } => {
+                self.effects.push(Effect::MembersChanged(members));
+            }
         }
         Ok(())
     }
--- a/src/coltsfootnotch/daemon/control/seeded/bootstrap.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/bootstrap.rs
@@ -1,7 +1,7 @@
 //! Bootstrap of a control group whose members discover each other.
 //!
 //! A second group beside an existing one would lose acknowledged state. A host therefore bootstraps only
-//! if it is the [bootstrap member](Membership::founder) of the seeds that have a disk, and every seed is
+//! if it is the [bootstrap member](Membership::bootstrap_member) of the seeds that have a disk, and every seed is
 //! connected, has an empty log, the same seeds and settings for the first start of the fleet. A host that
 //! lost its disk is started without that setting and waits to be admitted.
 
@@ -106,10 +106,10 @@
         }
     }
     let members = Membership::of(log_hosts);
-    match members.founder() {
+    match members.bootstrap_member() {
         None => Err(BootstrapBlocked::NoDisk),
-        Some(founder) if founder != local.member => {
-            Err(BootstrapBlocked::OtherMember(founder.clone()))
+        Some(bootstrap_member) if bootstrap_member != local.member => {
+            Err(BootstrapBlocked::OtherMember(bootstrap_member.clone()))
         }
         Some(_) => Ok(members),
     }
--- a/tests/testsuite/control_fleet/host.rs
+++ b/tests/testsuite/control_fleet/host.rs
@@ -152,7 +152,7 @@
             return false;
         };
         self.core
-            .found(now, members.voters)
+            .bootstrap(now, members.voters)
             .expect("the log accepts the same bootstrap member");
         true
     }
