--- a/crates/router/src/entry/action.rs
+++ b/crates/router/src/entry/action.rs
@@ -1,11 +1,11 @@
-//! What the entry core wants done.
+//! Actions that the entry core requests from its daemon.
 
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, BeginCause, ToSidecar};
 
 use super::Waiting;
 
-/// What the daemon is to do.
+/// An action for the daemon to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryAction {
     /// Send a control message to a sidecar.
@@ -15,21 +15,22 @@
         /// The message.
         message: ToSidecar,
     },
-    /// Open an attempt at a sidecar. From here on only its `NotStarted` means not run.
+    /// Open an attempt at a sidecar. From then on the request may run; only a `NotStarted` reply
+    /// rules that out.
     Begin {
         /// The attempt.
         attempt: AttemptId,
         /// The sidecar.
         to: HostName,
-        /// The run of the sidecar that may dispatch it.
+        /// The incarnation of the sidecar that may dispatch it.
         sidecar: Incarnation,
-        /// Offered, or pulled.
+        /// Whether the attempt is an offer or answers a pull.
         cause: BeginCause,
-        /// The request; handed back by [`EntryCore::requeue`](super::EntryCore::requeue) when it was
-        /// not started.
+        /// The request; pass it to [`EntryCore::requeue`](super::EntryCore::requeue) if the attempt
+        /// is not started.
         waiting: Waiting,
     },
-    /// The deadline passed while the request waited: it did not run.
+    /// The request's deadline passed while it waited; it did not run.
     Expired {
         /// The request.
         waiting: Waiting,
--- a/crates/router/src/entry/concurrency.rs
+++ b/crates/router/src/entry/concurrency.rs
@@ -1,10 +1,10 @@
-//! How many requests of an account run at once through this entry.
+//! Limits on concurrent requests of an account through this entry.
 
 use std::collections::HashMap;
 
 use coltsfootnotch_types::prelude::*;
 
-/// Running requests of the accounts that a limit is stated for.
+/// Running requests per account, and the configured limits.
 #[derive(Debug, Default)]
 pub(super) struct Concurrency {
     limits: HashMap<AccountName, u32>,
@@ -16,8 +16,8 @@
         self.limits = limits;
     }
 
-    /// How many more may start.
-    pub(super) fn room(&self, account: &AccountName) -> usize {
+    /// How many more requests of the account may start.
+    pub(super) fn headroom(&self, account: &AccountName) -> usize {
         let Some(limit) = self.limits.get(account) else {
             return usize::MAX;
         };
@@ -25,12 +25,12 @@
         limit.saturating_sub(running) as usize
     }
 
-    pub(super) fn began(&mut self, account: &AccountName) {
+    pub(super) fn on_started(&mut self, account: &AccountName) {
         *self.running.entry(account.clone()).or_insert(0) += 1;
     }
 
-    /// Notes an end; whether more may start than before.
-    pub(super) fn ended(&mut self, account: &AccountName) -> bool {
+    /// Counts a finished run. Returns whether the account has a limit, so that more may now start.
+    pub(super) fn on_ended(&mut self, account: &AccountName) -> bool {
         let Some(running) = self.running.get_mut(account) else {
             return false;
         };
--- a/crates/router/src/entry/core.rs
+++ b/crates/router/src/entry/core.rs
@@ -1,4 +1,4 @@
-//! The entry core: a request comes in, waits or is offered, is pulled, and leaves.
+//! The entry core: admitted requests are offered or queued, pulled by sidecars, and may expire.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -10,26 +10,26 @@
 use super::concurrency::Concurrency;
 use super::{EntryAction, PoolQueue, SidecarView, Waiting};
 
-/// How long a suspect that found another one running is first held back; each further time doubles
-/// it. A run takes seconds: without the doubling, a handful of suspects that take their turns at the
-/// head of their account's queue would get every pull that is meant for the rest of the account.
-const SUSPECT_HOLD: Duration = Duration::from_millis(50);
-/// Doublings at most: 0.8 s, which an upstream that comes free stands without a suspect at worst.
-const SUSPECT_DOUBLINGS: u32 = 4;
+/// First backoff of a crash suspect that was refused because another suspect was running; it
+/// doubles with each attempt. Without it a few suspects at the head of their account's queue
+/// consume every pull meant for the rest of the account.
+const SUSPECT_BACKOFF: Duration = Duration::from_millis(50);
+/// Limits the backoff to 0.8 s, the longest that a free upstream waits for its next suspect.
+const MAX_SUSPECT_DOUBLINGS: u32 = 4;
 
-/// A request that was admitted.
+/// An admitted request.
 pub type NewRequest = Waiting;
 
-/// Queues of one entry, and what it knows of the sidecars.
+/// Request queues of one entry, and its view of the connected sidecars.
 #[derive(Debug)]
 pub struct EntryCore {
-    pub(super) me: Incarnation,
+    pub(super) incarnation: Incarnation,
     pub(super) domain: DomainName,
     pub(super) queues: BTreeMap<PoolName, PoolQueue>,
-    /// Requests that go back to their queue at a later time.
-    held: BTreeMap<(Duration, u64), Waiting>,
-    /// Every request that waits, held ones included.
-    pub(super) numbers: HashSet<u64>,
+    /// Requests in backoff, by the time at which they return to their queue.
+    delayed: BTreeMap<(Duration, u64), Waiting>,
+    /// Numbers of all waiting requests, delayed ones included.
+    pub(super) pending: HashSet<u64>,
     pub(super) sidecars: BTreeMap<HostName, SidecarView>,
     pub(super) prefixes: PrefixMap,
     pub(super) concurrency: Concurrency,
@@ -38,15 +38,15 @@
 }
 
 impl EntryCore {
-    /// An entry core with nothing waiting and no sidecar known.
+    /// Creates an entry core with empty queues and no sidecars.
     #[must_use]
-    pub fn new(me: Incarnation, domain: DomainName) -> Self {
+    pub fn new(incarnation: Incarnation, domain: DomainName) -> Self {
         Self {
-            me,
+            incarnation,
             domain,
             queues: BTreeMap::new(),
-            held: BTreeMap::new(),
-            numbers: HashSet::new(),
+            delayed: BTreeMap::new(),
+            pending: HashSet::new(),
             sidecars: BTreeMap::new(),
             prefixes: PrefixMap::new(),
             concurrency: Concurrency::default(),
@@ -55,34 +55,38 @@
         }
     }
 
-    /// Takes the actions that have come up, in order.
+    /// Returns the actions since the last call, in order.
     pub fn take_actions(&mut self, now: Duration) -> Vec<EntryAction> {
         self.flush_waits(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Requests waiting in a pool.
+    /// Number of requests that wait in a pool.
     #[must_use]
-    pub fn waiting(&self, pool: &PoolName) -> usize {
-        let held = self.held.values().filter(|held| held.pool == *pool).count();
+    pub fn waiting_in(&self, pool: &PoolName) -> usize {
+        let delayed = self
+            .delayed
+            .values()
+            .filter(|waiting| waiting.pool == *pool)
+            .count();
         self.queues
             .get(pool)
-            .map_or(held, |queue| queue.len() + held)
+            .map_or(delayed, |queue| queue.len() + delayed)
     }
 
-    /// Requests of one account waiting in a pool.
+    /// Number of requests of one account that wait in a pool.
     #[must_use]
     pub fn waiting_of(&self, pool: &PoolName, account: &AccountName) -> usize {
         let queue = self.queues.get(pool);
         let queued = queue.map_or(0, |queue| queue.count(account));
-        let is_of = |held: &&Waiting| held.pool == *pool && held.account == *account;
-        queued + self.held.values().filter(is_of).count()
+        let matches = |waiting: &&Waiting| waiting.pool == *pool && waiting.account == *account;
+        queued + self.delayed.values().filter(matches).count()
     }
 
-    /// Requests waiting in all pools.
+    /// Number of requests that wait in all pools.
     #[must_use]
-    pub fn waiting_in_all(&self) -> usize {
-        self.numbers.len()
+    pub fn total_waiting(&self) -> usize {
+        self.pending.len()
     }
 
     /// Whether any connected sidecar serves the pool.
@@ -91,7 +95,7 @@
         self.sidecars.values().any(|view| view.serves(pool))
     }
 
-    /// Sidecars connected, and the pools that they serve.
+    /// Number of connected sidecars, and the pools that they serve.
     #[must_use]
     pub fn served(&self) -> (usize, BTreeSet<PoolName>) {
         let views = self.sidecars.values();
@@ -99,7 +103,7 @@
         (self.sidecars.len(), pools.collect())
     }
 
-    /// Takes in an admitted request: offers it when a slot is free and nothing waits, else queues it.
+    /// Offers an admitted request if a slot is free and none waits in its pool; else queues it.
     pub fn submit(&mut self, waiting: NewRequest) {
         match self.offer_target(&waiting) {
             Some(to) => self.offer(&to, waiting),
@@ -107,14 +111,14 @@
         }
     }
 
-    /// Sets how many requests of an account may run at once; accounts not named have no limit.
+    /// Sets the concurrency limits; accounts without an entry have none.
     pub fn set_running_limits(&mut self, limits: HashMap<AccountName, u32>) {
         self.concurrency.set_limits(limits);
     }
 
-    /// Notes that an attempt which was begun has ended, however it did.
+    /// Records that a started attempt of the account has ended, with any outcome.
     pub fn ended(&mut self, account: &AccountName) {
-        if !self.concurrency.ended(account) {
+        if !self.concurrency.on_ended(account) {
             return;
         }
         for (pool, queue) in &self.queues {
@@ -124,94 +128,101 @@
         }
     }
 
-    /// Takes back a request whose attempt was not started.
+    /// Puts a request whose attempt was not started back at the head of its queue.
     ///
-    /// Not offered again but queued: the view of free slots that led to the offer was stale, and
-    /// repeated offers to full sidecars would cost a round trip each while others wait their turn.
+    /// It is not offered again: the view of free slots was stale, and each offer to a saturated
+    /// sidecar costs a round trip.
     pub fn requeue(&mut self, mut waiting: Waiting) {
         waiting.attempt += 1;
         self.enqueue(waiting, PoolQueue::push_front);
     }
 
-    /// Takes back a suspect of crashes that found another suspect running.
+    /// Requeues a crash suspect that was refused because another suspect was running, after a
+    /// backoff during which it can't be pulled.
     ///
-    /// It waits for a while without being pulled: it would otherwise be pulled and sent back again
-    /// and again, one round trip after the other, and stand in the way of the rest of its account.
+    /// Without the backoff it is pulled and refused once per round trip, ahead of the rest of its
+    /// account.
     pub fn hold_back(&mut self, now: Duration, mut waiting: Waiting) {
-        let hold = SUSPECT_HOLD * 2_u32.pow(waiting.attempt.min(SUSPECT_DOUBLINGS));
+        let backoff = SUSPECT_BACKOFF * 2_u32.pow(waiting.attempt.min(MAX_SUSPECT_DOUBLINGS));
         waiting.attempt += 1;
-        self.note(waiting.request);
-        self.held.insert((now + hold, waiting.request), waiting);
+        self.record_pending(waiting.request);
+        self.delayed
+            .insert((now + backoff, waiting.request), waiting);
     }
 
-    /// Takes out a request whose caller has gone; none when it no longer waits.
+    /// Removes a request whose caller has disconnected; `None` if it no longer waits.
     pub fn withdraw(
         &mut self,
         pool: &PoolName,
         account: &AccountName,
         request: u64,
     ) -> Option<Waiting> {
-        if !self.numbers.contains(&request) {
+        if !self.pending.contains(&request) {
             return None;
         }
-        let held = self.held.keys().find(|(_, held)| *held == request).copied();
-        let taken = match held {
-            Some(key) => self.held.remove(&key)?,
+        let delayed = self
+            .delayed
+            .keys()
+            .find(|(_, number)| *number == request)
+            .copied();
+        let taken = match delayed {
+            Some(key) => self.delayed.remove(&key)?,
             None => self.queues.get_mut(pool)?.remove(account, request)?,
         };
-        self.numbers.remove(&request);
-        self.mark(&taken);
+        self.pending.remove(&request);
+        self.mark_changed(&taken);
         Some(taken)
     }
 
-    /// A connection to a sidecar came up: it is told everything that waits once it says what it serves.
+    /// Registers a newly connected sidecar; it is sent all waits of a pool once it reports that
+    /// pool.
     pub fn sidecar_up(&mut self, host: HostName, incarnation: Incarnation, domain: DomainName) {
         self.sidecar_down(&host);
         let view = SidecarView::new(&host, incarnation, domain);
         self.sidecars.insert(host, view);
     }
 
-    /// The connection to a sidecar is gone.
+    /// Removes a sidecar whose connection was lost.
     pub fn sidecar_down(&mut self, host: &HostName) {
         let view = self.sidecars.remove(host);
         for pool in view.iter().flat_map(|view| view.pools.keys()) {
-            self.retell_avoiding(pool);
+            self.mark_avoiding(pool);
         }
     }
 
-    /// Ends the wait of requests whose deadline has passed, and queues those held until now.
+    /// Expires requests whose deadline has passed, and requeues those whose backoff has ended.
     pub fn tick(&mut self, now: Duration) {
-        let later = self.held.split_off(&(now + Duration::from_nanos(1), 0));
-        let due = std::mem::replace(&mut self.held, later);
+        let later = self.delayed.split_off(&(now + Duration::from_nanos(1), 0));
+        let due = std::mem::replace(&mut self.delayed, later);
         for waiting in due.into_values() {
-            self.numbers.remove(&waiting.request);
+            self.pending.remove(&waiting.request);
             self.enqueue(waiting, PoolQueue::push_front);
         }
         let queues = self.queues.values_mut();
         let expired = queues.flat_map(|queue| queue.take_expired(|w| w.deadline <= now));
         for waiting in expired.collect::<Vec<_>>() {
-            self.numbers.remove(&waiting.request);
-            self.mark(&waiting);
+            self.pending.remove(&waiting.request);
+            self.mark_changed(&waiting);
             self.actions.push(EntryAction::Expired { waiting });
         }
     }
 
     fn enqueue(&mut self, waiting: Waiting, push: impl Fn(&mut PoolQueue, Waiting)) {
-        self.note(waiting.request);
-        self.mark(&waiting);
+        self.record_pending(waiting.request);
+        self.mark_changed(&waiting);
         let queue = self.queues.entry(waiting.pool.clone()).or_default();
         push(queue, waiting);
     }
 
-    /// Notes a request that begins to wait. One that waited twice could be started twice.
-    fn note(&mut self, request: u64) {
-        let is_new = self.numbers.insert(request);
-        assert!(is_new, "request {request} waits twice");
+    /// Records a request that starts to wait. A request queued twice could be started twice.
+    fn record_pending(&mut self, request: u64) {
+        let is_new = self.pending.insert(request);
+        assert!(is_new, "request {request} is queued twice");
     }
 
-    pub(super) fn mark(&mut self, waiting: &Waiting) {
-        let place = (waiting.pool.clone(), waiting.account.clone());
-        self.changed.insert(place);
+    pub(super) fn mark_changed(&mut self, waiting: &Waiting) {
+        let key = (waiting.pool.clone(), waiting.account.clone());
+        self.changed.insert(key);
     }
 
     fn offer(&mut self, to: &HostName, waiting: Waiting) {
@@ -223,10 +234,10 @@
         }
         let sidecar = view.incarnation;
         let now = waiting.arrived;
-        self.begin(now, to, sidecar, BeginCause::Offer, waiting);
+        self.open_attempt(now, to, sidecar, BeginCause::Offer, waiting);
     }
 
-    pub(super) fn begin(
+    pub(super) fn open_attempt(
         &mut self,
         now: Duration,
         to: &HostName,
@@ -235,11 +246,11 @@
         waiting: Waiting,
     ) {
         if let Some((prefix, view)) = waiting.prefix_key().zip(self.sidecars.get(to)) {
-            self.prefixes.on_held(prefix, &view.route, now);
+            self.prefixes.on_held(prefix, &view.routing_name, now);
         }
-        self.concurrency.began(&waiting.account);
+        self.concurrency.on_started(&waiting.account);
         let attempt = AttemptId {
-            entry: self.me,
+            entry: self.incarnation,
             request: waiting.request,
             attempt: waiting.attempt,
         };
--- a/crates/router/src/entry/choosing.rs
+++ b/crates/router/src/entry/matching.rs
@@ -1,4 +1,4 @@
-//! Which sidecar is offered a request, and which request a pulling sidecar gets.
+//! Matching of requests and sidecars: the target of an offer, and the request for a pull.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
 use super::{EntryCore, PoolView, SidecarView, Waiting};
 
 impl EntryCore {
-    /// The sidecar to offer to: among those with a free slot one that holds the prefix, unless it is
-    /// much busier than the others, then a near one.
+    /// The sidecar to offer a request to: among those with a free slot one that has the prefix
+    /// cached, unless it is much busier than the others, then one in a near failure domain.
     ///
-    /// A call that may not be repeated is never offered: its slot is reserved by a pull before the
-    /// intent is committed, and the pull's number lets it start once only.
+    /// A call that may not be repeated is never offered: a pull reserves its slot before the intent
+    /// is committed, and the pull's number allows a single start.
     pub(super) fn offer_target(&self, waiting: &Waiting) -> Option<HostName> {
-        let room = self.concurrency.room(&waiting.account);
-        if !waiting.repeatable || room == 0 || self.waiting(&waiting.pool) > 0 {
+        let headroom = self.concurrency.headroom(&waiting.account);
+        if !waiting.repeatable || headroom == 0 || self.waiting_in(&waiting.pool) > 0 {
             return None;
         }
-        let open: Vec<(&HostName, &SidecarView, &PoolView)> = self
+        let eligible: Vec<(&HostName, &SidecarView, &PoolView)> = self
             .sidecars
             .iter()
             .filter(|(host, _)| !waiting.avoid.contains(host))
             .filter_map(|(host, view)| Some((host, view, view.pools.get(&waiting.pool)?)))
             .collect();
-        let candidates: Vec<Candidate<'_>> = open
+        let candidates: Vec<Candidate<'_>> = eligible
             .iter()
             .map(|(_, view, pool)| Candidate {
-                upstream: &view.route,
+                upstream: &view.routing_name,
                 nearness: Nearness::between(&self.domain, &view.domain),
                 usable: pool.usable.max(pool.free),
                 in_flight: pool.usable.saturating_sub(pool.free),
@@ -35,10 +35,10 @@
             .collect();
         let (prefix, now) = (waiting.prefix_key(), waiting.arrived);
         let chosen = place(&candidates, prefix, &[], &self.prefixes, now)?;
-        Some(open[chosen].0.clone())
+        Some(eligible[chosen].0.clone())
     }
 
-    /// Takes a request of an account for a sidecar that pulls.
+    /// Dequeues a request of an account for a sidecar that pulls.
     pub(super) fn take_for(
         &mut self,
         now: Duration,
@@ -46,24 +46,22 @@
         pool: &PoolName,
         account: &AccountName,
     ) -> Option<Waiting> {
-        if self.concurrency.room(account) == 0 {
+        if self.concurrency.headroom(account) == 0 {
             return None;
         }
         let view = self.sidecars.get(from)?;
         let sidecars = &self.sidecars;
         let allowed = |waiting: &Waiting| {
-            waiting.deadline > now && may_run_at(sidecars.iter(), from, waiting)
+            waiting.deadline > now && can_run_at(sidecars.iter(), from, waiting)
         };
         let queue = self.queues.get_mut(pool)?;
-        queue.take(account, allowed, &view.route, &self.prefixes, now)
+        queue.take(account, allowed, &view.routing_name, &self.prefixes, now)
     }
 }
 
-/// Whether a request may run at a host: it does not avoid it, or there is nowhere else.
-///
-/// With one sidecar left, a request that avoids it would otherwise wait until its deadline beside
-/// free slots.
-pub(super) fn may_run_at<'a>(
+/// Whether a request may run at a host: it does not avoid the host, or it avoids every sidecar of
+/// its pool, where it could only wait until its deadline beside free slots.
+pub(super) fn can_run_at<'a>(
     sidecars: impl IntoIterator<Item = (&'a HostName, &'a SidecarView)>,
     host: &HostName,
     waiting: &Waiting,
--- a/crates/router/src/entry/messages.rs
+++ b/crates/router/src/entry/messages.rs
@@ -1,4 +1,4 @@
-//! What an entry hears from its sidecars.
+//! Handling of messages from sidecars.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::EntryCore;
 
 impl EntryCore {
-    /// Takes in a message from a sidecar.
+    /// Handles a message from a sidecar.
     pub fn on_message(&mut self, now: Duration, from: &HostName, message: FromSidecar) {
         match message {
             FromSidecar::Free {
@@ -18,7 +18,7 @@
                 usable,
                 cached,
             } => {
-                self.learn_prefixes(now, from, &cached);
+                self.record_prefixes(now, from, &cached);
                 self.on_free(now, from, &pool, slots, usable);
             }
             FromSidecar::Pull {
@@ -30,39 +30,47 @@
                 if let Some(view) = self.sidecars.get_mut(from) {
                     view.pools.remove(&pool);
                 }
-                self.retell_avoiding(&pool);
+                self.mark_avoiding(&pool);
             }
-            // What crashes say of a request is weighed before it is submitted.
+            // Handled by the daemon, which checks requests against crashes before it submits them.
             FromSidecar::Crashed(_)
             | FromSidecar::Cleared { .. }
             | FromSidecar::Disowned { .. } => {}
         }
     }
 
-    fn learn_prefixes(&mut self, now: Duration, from: &HostName, cached: &[u64]) {
+    fn record_prefixes(&mut self, now: Duration, from: &HostName, cached: &[u64]) {
         let Some(view) = self.sidecars.get(from) else {
             return;
         };
         for prefix in cached {
-            self.prefixes.on_held(PrefixKey(*prefix), &view.route, now);
+            self.prefixes
+                .on_held(PrefixKey(*prefix), &view.routing_name, now);
         }
     }
 
-    fn on_free(&mut self, now: Duration, from: &HostName, pool: &PoolName, slots: u32, all: u32) {
+    fn on_free(
+        &mut self,
+        now: Duration,
+        from: &HostName,
+        pool: &PoolName,
+        slots: u32,
+        usable: u32,
+    ) {
         let Some(view) = self.sidecars.get_mut(from) else {
             return;
         };
         let is_new = !view.serves(pool);
-        let known = view.pools.entry(pool.clone()).or_default();
-        let has_more = slots > known.free;
-        known.free = slots;
-        known.usable = all;
+        let pool_view = view.pools.entry(pool.clone()).or_default();
+        let has_more = slots > pool_view.free;
+        pool_view.free = slots;
+        pool_view.usable = usable;
         if has_more && !is_new {
-            self.retell_for_more_slots(from, pool);
+            self.mark_for_more_slots(from, pool);
         }
         if is_new {
-            self.tell_all_of(now, from, pool);
-            self.retell_avoiding(pool);
+            self.send_all_waits(now, from, pool);
+            self.mark_avoiding(pool);
         }
     }
 
@@ -78,13 +86,13 @@
             return;
         };
         let sidecar = view.incarnation;
-        let mut named = accounts.iter();
-        let taken = named.find_map(|account| self.take_for(now, from, pool, account));
+        let mut candidates = accounts.iter();
+        let taken = candidates.find_map(|account| self.take_for(now, from, pool, account));
         let Some(waiting) = taken else {
-            return self.answer_nothing(now, from, pull, pool, accounts);
+            return self.answer_empty_pull(now, from, pull, pool, accounts);
         };
-        self.numbers.remove(&waiting.request);
-        self.mark(&waiting);
-        self.begin(now, from, sidecar, BeginCause::Pull { pull }, waiting);
+        self.pending.remove(&waiting.request);
+        self.mark_changed(&waiting);
+        self.open_attempt(now, from, sidecar, BeginCause::Pull { pull }, waiting);
     }
 }
--- a/crates/router/src/entry/mod.rs
+++ b/crates/router/src/entry/mod.rs
@@ -1,17 +1,17 @@
-//! The entry's side of late binding: what waits, and who is told of it.
+//! The entry's side of late binding: queues of waiting requests, and the reports to sidecars.
 
 mod action;
-mod choosing;
 mod concurrency;
 mod core;
+mod matching;
 mod messages;
 mod queue;
+mod request;
 mod sidecar_view;
-mod telling;
-mod waiting;
+mod wait_updates;
 
 pub use action::EntryAction;
 pub use core::{EntryCore, NewRequest};
 pub use queue::PoolQueue;
+pub use request::Waiting;
 pub use sidecar_view::{PoolView, SidecarView};
-pub use waiting::Waiting;
--- a/crates/router/src/entry/queue.rs
+++ b/crates/router/src/entry/queue.rs
@@ -8,10 +8,10 @@
 
 use super::Waiting;
 
-/// How many requests of an account a pull chooses among; the choice itself looks at fewer.
-const OPEN: usize = 16;
+/// How many of an account's oldest requests are passed to the choice for a pull.
+const LOOKAHEAD: usize = 16;
 
-/// First in, first out within an account; the accounts are chosen among by the sidecars.
+/// Queues of one pool, first in, first out within an account; sidecars choose among the accounts.
 #[derive(Debug, Default)]
 pub struct PoolQueue {
     accounts: BTreeMap<AccountName, AccountQueue>,
@@ -20,23 +20,23 @@
 
 #[derive(Debug, Default)]
 struct AccountQueue {
-    requests: VecDeque<Queued>,
-    /// How many of them avoid a sidecar. While none does, a count for any sidecar is the length.
+    requests: VecDeque<QueueItem>,
+    /// How many of them avoid a sidecar; while zero, all of them count for every sidecar.
     avoiding: usize,
 }
 
 #[derive(Debug)]
-struct Queued {
+struct QueueItem {
     waiting: Waiting,
-    /// How often a younger request was taken before it.
+    /// How often a younger request was taken first.
     passed: u32,
 }
 
 impl AccountQueue {
-    fn put(&mut self, waiting: Waiting, push: impl Fn(&mut VecDeque<Queued>, Queued)) {
+    fn push_with(&mut self, waiting: Waiting, push: impl Fn(&mut VecDeque<QueueItem>, QueueItem)) {
         self.avoiding += usize::from(!waiting.avoid.is_empty());
         let passed = 0;
-        push(&mut self.requests, Queued { waiting, passed });
+        push(&mut self.requests, QueueItem { waiting, passed });
     }
 
     fn remove_at(&mut self, index: usize) -> Option<Waiting> {
@@ -47,20 +47,22 @@
 }
 
 impl PoolQueue {
-    /// Adds a request behind the others of its account.
+    /// Adds a request at the tail of its account's queue.
     pub fn push_back(&mut self, waiting: Waiting) {
-        self.queue_of(&waiting).put(waiting, VecDeque::push_back);
+        self.queue_for_push(&waiting)
+            .push_with(waiting, VecDeque::push_back);
     }
 
-    /// Puts a request that was not started back before the others of its account.
+    /// Puts a request that was not started back at the head of its account's queue.
     pub fn push_front(&mut self, waiting: Waiting) {
-        self.queue_of(&waiting).put(waiting, VecDeque::push_front);
+        self.queue_for_push(&waiting)
+            .push_with(waiting, VecDeque::push_front);
     }
 
-    /// Takes the request of `account` that suits `upstream` best, among those `allowed` there.
+    /// Removes the request of `account` that suits `upstream` best, among those `allowed` there.
     ///
-    /// Only the oldest few are looked at, so that a request without a cached prefix is passed over
-    /// only by its neighbours, and the search costs the same in a long queue.
+    /// Only the oldest requests are compared: this bounds the cost of the search, and how far a
+    /// request without a cached prefix can be overtaken.
     pub fn take(
         &mut self,
         account: &AccountName,
@@ -71,38 +73,38 @@
     ) -> Option<Waiting> {
         let queue = self.accounts.get_mut(account)?;
         let numbered = queue.requests.iter().enumerate();
-        let open: Vec<(usize, &Queued)> = numbered
-            .filter(|(_, queued)| allowed(&queued.waiting))
-            .take(OPEN)
+        let eligible: Vec<(usize, &QueueItem)> = numbered
+            .filter(|(_, item)| allowed(&item.waiting))
+            .take(LOOKAHEAD)
             .collect();
-        let choices = open.iter().map(|(_, queued)| WaitingRequest {
-            prefix: queued.waiting.prefix_key(),
-            passed: queued.passed,
+        let choices = eligible.iter().map(|(_, item)| WaitingRequest {
+            prefix: item.waiting.prefix_key(),
+            passed: item.passed,
             avoid: &[],
         });
         let chosen = pick_request(choices, upstream, prefixes, now)?;
-        let older: Vec<usize> = open[..chosen].iter().map(|(index, _)| *index).collect();
-        let index = open[chosen].0;
+        let older: Vec<usize> = eligible[..chosen].iter().map(|(index, _)| *index).collect();
+        let index = eligible[chosen].0;
         for passed in older {
             queue.requests[passed].passed += 1;
         }
         self.take_at(account, index)
     }
 
-    /// Takes one request out, wherever it stands.
+    /// Removes a request from any position.
     pub fn remove(&mut self, account: &AccountName, request: u64) -> Option<Waiting> {
         let queue = self.accounts.get(account)?;
-        let is_it = |queued: &Queued| queued.waiting.request == request;
-        let index = queue.requests.iter().position(is_it)?;
+        let matches = |item: &QueueItem| item.waiting.request == request;
+        let index = queue.requests.iter().position(matches)?;
         self.take_at(account, index)
     }
 
-    /// Takes out every request that `expired` names.
+    /// Removes every request for which `expired` returns true.
     pub fn take_expired(&mut self, expired: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
         let mut taken = Vec::new();
         for queue in self.accounts.values_mut() {
-            let is_out = |queued: &Queued| expired(&queued.waiting);
-            while let Some(index) = queue.requests.iter().position(is_out) {
+            let is_expired = |item: &QueueItem| expired(&item.waiting);
+            while let Some(index) = queue.requests.iter().position(is_expired) {
                 taken.extend(queue.remove_at(index));
             }
         }
@@ -111,14 +113,14 @@
         taken
     }
 
-    /// Requests of one account.
+    /// Number of requests of one account.
     #[must_use]
     pub fn count(&self, account: &AccountName) -> usize {
         let queue = self.accounts.get(account);
         queue.map_or(0, |queue| queue.requests.len())
     }
 
-    /// Requests of one account that `allowed` lets run somewhere.
+    /// Number of requests of one account for which `allowed` returns true.
     #[must_use]
     pub fn count_allowed(
         &self,
@@ -127,41 +129,42 @@
     ) -> usize {
         let requests = self.accounts.get(account).map(|queue| &queue.requests);
         let requests = requests.into_iter().flatten();
-        requests.filter(|queued| allowed(&queued.waiting)).count()
+        requests.filter(|item| allowed(&item.waiting)).count()
     }
 
-    /// Whether a request of the account avoids a sidecar.
+    /// Whether any request of the account avoids a sidecar.
     #[must_use]
     pub fn has_avoiding(&self, account: &AccountName) -> bool {
         let queue = self.accounts.get(account);
         queue.is_some_and(|queue| queue.avoiding > 0)
     }
 
-    /// Arrival of the oldest request of one account.
+    /// Arrival of the request at the head of one account's queue.
     #[must_use]
     pub fn oldest(&self, account: &AccountName) -> Option<Duration> {
         let queue = self.accounts.get(account)?;
-        queue.requests.front().map(|queued| queued.waiting.arrived)
+        queue.requests.front().map(|item| item.waiting.arrived)
     }
 
-    /// Accounts with requests waiting.
+    /// Accounts with waiting requests.
     pub fn accounts(&self) -> impl Iterator<Item = &AccountName> {
         self.accounts.keys()
     }
 
-    /// Requests of all accounts.
+    /// Number of requests of all accounts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    fn queue_of(&mut self, waiting: &Waiting) -> &mut AccountQueue {
+    /// The account's queue, for a request that is about to be pushed and is counted here.
+    fn queue_for_push(&mut self, waiting: &Waiting) -> &mut AccountQueue {
         self.len += 1;
         self.accounts.entry(waiting.account.clone()).or_default()
     }
--- a/crates/router/src/entry/waiting.rs
+++ b/crates/router/src/entry/request.rs
@@ -1,37 +1,37 @@
-//! A request that waits for a slot.
+//! A request in an entry's queue.
 
 use std::time::Duration;
 
 use coltsfootnotch_decide::route::PrefixKey;
 use coltsfootnotch_types::prelude::*;
 
-/// A request that waits for a slot.
+/// An admitted request that waits for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Waiting {
-    /// Number of the request within the entry's run.
+    /// Number of the request, unique within the entry's incarnation.
     pub request: u64,
-    /// Number of its next attempt.
+    /// Number of its next attempt, from 0.
     pub attempt: u32,
-    /// Whose it is.
+    /// The client account that sent it.
     pub account: AccountName,
-    /// Where it waits.
+    /// The pool that it is for.
     pub pool: PoolName,
     /// When it arrived.
     pub arrived: Duration,
-    /// When its caller no longer wants the answer.
+    /// When its caller's timeout ends.
     pub deadline: Duration,
-    /// Estimated service.
+    /// Estimated service of one run.
     pub estimate: ServiceUnits,
-    /// Digest of its prompt's beginning, for cache affinity; zero for none.
+    /// Digest of the prompt's prefix, for cache affinity; zero for none.
     pub prefix: u64,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Sidecars that failed it before; a retry goes elsewhere while there is an elsewhere.
+    /// Sidecars at which it failed before; a retry avoids them while another one serves the pool.
     pub avoid: Vec<HostName>,
 }
 
 impl Waiting {
-    /// Its prefix, if its prompt has one.
+    /// The key of its prompt's prefix, if it has one.
     #[must_use]
     pub fn prefix_key(&self) -> Option<PrefixKey> {
         (self.prefix != 0).then_some(PrefixKey(self.prefix))
--- a/crates/router/src/entry/sidecar_view.rs
+++ b/crates/router/src/entry/sidecar_view.rs
@@ -1,62 +1,63 @@
-//! What an entry knows of one sidecar.
+//! An entry's view of one sidecar.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
 use coltsfootnotch_types::prelude::*;
 
-/// Time between two messages of waits to a sidecar that is full. It adds to the age of what hosts know
-/// of waiting work, half of it in the mean: less than the service counters' own age.
-const TELL_EVERY: Duration = Duration::from_millis(100);
-/// Factor by which a count must change to be told. A pull too many costs one small message; a pull
-/// too few at a time costs a round trip, and only when several slots come free at once.
-const WORTH_TELLING: u32 = 4;
+/// Interval between wait updates to a saturated sidecar. On average it adds half of itself to the
+/// age of a sidecar's counts, which is less than the age of the service counters.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Factor by which a count must change to be sent. A superfluous pull costs one small message; a
+/// missing one costs a round trip, and only if several slots become free at once.
+const SIGNIFICANT_FACTOR: u32 = 4;
 
-/// One sidecar, while the connection to it is up.
+/// A connected sidecar.
 #[derive(Debug)]
 pub struct SidecarView {
-    /// The run of its process; attempts name it.
+    /// The incarnation of its process, which attempts carry.
     pub incarnation: Incarnation,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Its name where upstreams are chosen: it stands for those beside it.
-    pub route: UpstreamName,
+    /// The name under which routing decisions treat the sidecar as one upstream.
+    pub routing_name: UpstreamName,
     /// The pools that it serves.
     pub pools: BTreeMap<PoolName, PoolView>,
 }
 
-/// A pool at one sidecar.
+/// One pool at one sidecar.
 #[derive(Debug, Default)]
 pub struct PoolView {
-    /// Free slots, as last heard, less what was offered since.
+    /// Free slots as last reported, less the offers since then.
     pub free: u32,
-    /// Slots in all, as last heard.
+    /// Usable slots as last reported, free or not.
     pub usable: u32,
-    /// What the sidecar was told to wait, by account.
-    told: HashMap<AccountName, u32>,
-    /// Accounts of which it may have to be told anew.
+    /// Number of waiting requests last sent to the sidecar, by account.
+    sent: HashMap<AccountName, u32>,
+    /// Accounts whose number may have changed since.
     changed: BTreeSet<AccountName>,
-    /// When it was last told.
-    told_at: Duration,
+    /// When the last update was sent.
+    sent_at: Duration,
 }
 
 impl SidecarView {
-    /// A sidecar that was just connected to and has been told nothing.
+    /// Creates the view of a newly connected sidecar.
     ///
     /// # Panics
-    /// Never: names of hosts and of upstreams obey the same rules.
+    /// Never: host names and upstream names have the same syntax.
     #[must_use]
     pub fn new(host: &HostName, incarnation: Incarnation, domain: DomainName) -> Self {
-        let route = UpstreamName::new(host.as_str()).expect("names have the same rules");
+        let routing_name =
+            UpstreamName::new(host.as_str()).expect("host and upstream names have the same syntax");
         Self {
             incarnation,
             domain,
-            route,
+            routing_name,
             pools: BTreeMap::new(),
         }
     }
 
-    /// Whether it has said that it serves the pool.
+    /// Whether it has reported that it serves the pool.
     #[must_use]
     pub fn serves(&self, pool: &PoolName) -> bool {
         self.pools.contains_key(pool)
@@ -64,51 +65,50 @@
 }
 
 impl PoolView {
-    /// Notes that what waits of an account has changed, to be told when that is due.
-    pub fn note_changed(&mut self, account: &AccountName) {
+    /// Marks an account's number of waiting requests for the next update.
+    pub fn mark_changed(&mut self, account: &AccountName) {
         self.changed.insert(account.clone());
     }
 
-    /// Whether changes are to be told now.
+    /// Whether an update should be sent now.
     ///
-    /// At once to a sidecar that can use them: it has a free slot, or knows of nothing to pull when
-    /// one comes free. A full one that knows of waiting work hears them together, once in a while:
-    /// told one by one they were nine tenths of all control traffic.
+    /// Updates go at once to a sidecar that has a free slot or no work to pull. For a saturated
+    /// sidecar they are batched, since single updates dominate the control traffic.
     #[must_use]
     pub fn is_due(&self, now: Duration) -> bool {
-        let can_use = self.free > 0 || self.told.is_empty();
-        !self.changed.is_empty() && (can_use || now >= self.told_at + TELL_EVERY)
+        let can_use = self.free > 0 || self.sent.is_empty();
+        !self.changed.is_empty() && (can_use || now >= self.sent_at + UPDATE_INTERVAL)
     }
 
-    /// Takes the accounts that have changed, which are told now.
+    /// Returns the changed accounts for an update that is sent now.
     pub fn take_changed(&mut self, now: Duration) -> BTreeSet<AccountName> {
-        self.told_at = now;
+        self.sent_at = now;
         std::mem::take(&mut self.changed)
     }
 
-    /// Notes that it is told `count`; whether that is worth a message.
+    /// Records `count` as sent if it differs enough to be sent; returns whether it does.
     ///
-    /// Only whether something waits, and a change by a factor of [`WORTH_TELLING`], is told: a
-    /// sidecar chooses by who waits, and needs the count only so as not to pull far too much. With
-    /// more free slots than it knows requests it hears of each, or it would fill them one by one.
-    pub fn tell(&mut self, account: &AccountName, count: u32) -> bool {
-        let before = self.told.get(account).copied().unwrap_or(0);
-        let grown = count >= before.saturating_mul(WORTH_TELLING);
-        let shrunk = count.saturating_mul(WORTH_TELLING) <= before;
+    /// A sidecar chooses by which accounts wait and uses the counts only to bound its pulls, so it
+    /// needs changes from or to zero and by `SIGNIFICANT_FACTOR`. A sidecar with more free slots
+    /// than known requests gets every increase, so that it can fill its slots at once.
+    pub fn record_if_significant(&mut self, account: &AccountName, count: u32) -> bool {
+        let before = self.sent.get(account).copied().unwrap_or(0);
+        let grown = count >= before.saturating_mul(SIGNIFICANT_FACTOR);
+        let shrunk = count.saturating_mul(SIGNIFICANT_FACTOR) <= before;
         let fillable = count > before && before < self.free;
         let same = count == before || !(grown || shrunk || fillable);
         if !same {
-            self.tell_anyway(account, count);
+            self.record_sent(account, count);
         }
         !same
     }
 
-    /// Notes that it is told `count`, whatever it was told before.
-    pub fn tell_anyway(&mut self, account: &AccountName, count: u32) {
+    /// Records `count` as sent, whatever was sent before.
+    pub fn record_sent(&mut self, account: &AccountName, count: u32) {
         if count == 0 {
-            self.told.remove(account);
+            self.sent.remove(account);
         } else {
-            self.told.insert(account.clone(), count);
+            self.sent.insert(account.clone(), count);
         }
     }
 }
--- a/crates/router/src/entry/telling.rs
+++ b/crates/router/src/entry/wait_updates.rs
@@ -1,26 +1,29 @@
-//! What the sidecars are told to wait here.
+//! Reports to sidecars of the requests that wait at this entry.
 
 use std::time::Duration;
 
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AccountWait, ToSidecar};
 
-use super::choosing::may_run_at;
+use super::matching::can_run_at;
 use super::{EntryAction, EntryCore, PoolQueue, PoolView, Waiting};
 
 impl EntryCore {
-    /// Tells each sidecar what has changed, when that is due.
+    /// Sends the changes that are due to each sidecar.
     pub(super) fn flush_waits(&mut self, now: Duration) {
         let changed = std::mem::take(&mut self.changed);
         for (pool, account) in changed {
             let views = self.sidecars.values_mut();
-            for told in views.filter_map(|view| view.pools.get_mut(&pool)) {
-                told.note_changed(&account);
+            for pool_view in views.filter_map(|view| view.pools.get_mut(&pool)) {
+                pool_view.mark_changed(&account);
             }
         }
         let mut due = Vec::new();
         for (host, view) in &self.sidecars {
-            let pools = view.pools.iter().filter(|(_, told)| told.is_due(now));
+            let pools = view
+                .pools
+                .iter()
+                .filter(|(_, pool_view)| pool_view.is_due(now));
             due.extend(pools.map(|(pool, _)| (host.clone(), pool.clone())));
         }
         for (host, pool) in due {
@@ -28,17 +31,19 @@
         }
     }
 
-    /// Tells a sidecar what has changed in a pool since it was last told.
+    /// Sends a sidecar the changes in a pool since its last update.
     fn flush_to(&mut self, now: Duration, host: &HostName, pool: &PoolName) {
-        let Some(told) = self.told_at(host, pool) else {
+        let Some(pool_view) = self.pool_view_mut(host, pool) else {
             return;
         };
         let mut waits = Vec::new();
-        for account in told.take_changed(now) {
-            let count = self.count_at(now, host, pool, &account);
-            let wait = self.wait_of(now, pool, &account, count);
-            let told = self.told_at(host, pool);
-            if told.is_some_and(|told| told.tell(&account, wait.count)) {
+        for account in pool_view.take_changed(now) {
+            let count = self.reportable_count(now, host, pool, &account);
+            let wait = self.account_wait(now, pool, &account, count);
+            let pool_view = self.pool_view_mut(host, pool);
+            if pool_view
+                .is_some_and(|pool_view| pool_view.record_if_significant(&account, wait.count))
+            {
                 waits.push(wait);
             }
         }
@@ -47,27 +52,27 @@
         }
     }
 
-    fn told_at(&mut self, host: &HostName, pool: &PoolName) -> Option<&mut PoolView> {
+    fn pool_view_mut(&mut self, host: &HostName, pool: &PoolName) -> Option<&mut PoolView> {
         self.sidecars.get_mut(host)?.pools.get_mut(pool)
     }
 
-    /// Tells a sidecar that has begun to serve a pool all that waits in it.
+    /// Sends all waits of a pool to a sidecar that has started to serve it.
     ///
-    /// What it was told before it stopped serving may have crossed with its word that it stopped, so
-    /// it can't be relied on: without a fresh start it would pull work for ever that is long gone.
-    pub(super) fn tell_all_of(&mut self, now: Duration, host: &HostName, pool: &PoolName) {
+    /// Updates from before it stopped serving the pool may have crossed with its `NotServed`.
+    /// Without the full update, stale counts could make it pull for ever.
+    pub(super) fn send_all_waits(&mut self, now: Duration, host: &HostName, pool: &PoolName) {
         let accounts = self.queues.get(pool).map(PoolQueue::accounts);
         let accounts: Vec<AccountName> = accounts.into_iter().flatten().cloned().collect();
-        let waits = self.tell_anyway(now, host, pool, &accounts);
+        let waits = self.refresh_waits(now, host, pool, &accounts);
         let waiting = waits.into_iter().filter(|wait| wait.count > 0).collect();
         self.send_waits(host.clone(), pool.clone(), true, waiting);
     }
 
-    /// Answers a pull for which there is nothing.
+    /// Answers a pull that no request matches.
     ///
-    /// The sidecar must hear what waits of these accounts, and before it hears that the pull is
-    /// answered, or it would pull the same again at once and for ever.
-    pub(super) fn answer_nothing(
+    /// The current counts of its accounts are sent before the answer; without them the sidecar
+    /// would repeat the same pull endlessly.
+    pub(super) fn answer_empty_pull(
         &mut self,
         now: Duration,
         to: &HostName,
@@ -76,16 +81,16 @@
         accounts: &[AccountName],
     ) {
         self.flush_to(now, to, pool);
-        let waits = self.tell_anyway(now, to, pool, accounts);
+        let waits = self.refresh_waits(now, to, pool, accounts);
         self.send_waits(to.clone(), pool.clone(), false, waits);
         let message = ToSidecar::Nothing { pull };
         let to = to.clone();
         self.actions.push(EntryAction::Send { to, message });
     }
 
-    /// Marks for telling what a change of who serves a pool can allow: a request that avoids a
-    /// sidecar may run there when it is the last.
-    pub(super) fn retell_avoiding(&mut self, pool: &PoolName) {
+    /// Marks the accounts with requests that avoid a sidecar, after the set of sidecars of the pool
+    /// has changed: such a request may run at a sidecar that it avoids if no other one is left.
+    pub(super) fn mark_avoiding(&mut self, pool: &PoolName) {
         let Some(queue) = self.queues.get(pool) else {
             return;
         };
@@ -96,19 +101,20 @@
         self.changed.extend(marks);
     }
 
-    /// Marks for telling what a sidecar with more free slots can use: while it was full it was told
-    /// of fewer requests than wait.
-    pub(super) fn retell_for_more_slots(&mut self, host: &HostName, pool: &PoolName) {
+    /// Marks all accounts of a pool for a sidecar that has more free slots: while it was saturated,
+    /// the counts sent to it were rough.
+    pub(super) fn mark_for_more_slots(&mut self, host: &HostName, pool: &PoolName) {
         let view = self.sidecars.get_mut(host);
-        let told = view.and_then(|view| view.pools.get_mut(pool));
-        if let Some((told, queue)) = told.zip(self.queues.get(pool)) {
+        let pool_view = view.and_then(|view| view.pools.get_mut(pool));
+        if let Some((pool_view, queue)) = pool_view.zip(self.queues.get(pool)) {
             queue
                 .accounts()
-                .for_each(|account| told.note_changed(account));
+                .for_each(|account| pool_view.mark_changed(account));
         }
     }
 
-    fn tell_anyway(
+    /// Records the accounts' current counts as sent to a sidecar, and returns them.
+    fn refresh_waits(
         &mut self,
         now: Duration,
         host: &HostName,
@@ -117,19 +123,19 @@
     ) -> Vec<AccountWait> {
         let mut waits = Vec::new();
         for account in accounts {
-            let count = self.count_allowed(now, host, pool, account);
-            let wait = self.wait_of(now, pool, account, count);
-            if let Some(told) = self.told_at(host, pool) {
-                told.tell_anyway(account, wait.count);
+            let count = self.eligible_count(now, host, pool, account);
+            let wait = self.account_wait(now, pool, account, count);
+            if let Some(pool_view) = self.pool_view_mut(host, pool) {
+                pool_view.record_sent(account, wait.count);
                 waits.push(wait);
             }
         }
         waits
     }
 
-    /// Requests of an account that a sidecar may be told of. Those that have just expired count
-    /// until the next tick, unless the queue has to be looked through anyway.
-    fn count_at(
+    /// Number of an account's requests to report to a sidecar. Expired requests count until the
+    /// next tick, unless the queue has to be searched for avoided sidecars.
+    fn reportable_count(
         &self,
         now: Duration,
         host: &HostName,
@@ -138,29 +144,29 @@
     ) -> usize {
         match self.queues.get(pool) {
             Some(queue) if !queue.has_avoiding(account) => {
-                queue.count(account).min(self.concurrency.room(account))
+                queue.count(account).min(self.concurrency.headroom(account))
             }
-            _ => self.count_allowed(now, host, pool, account),
+            _ => self.eligible_count(now, host, pool, account),
         }
     }
 
-    /// Requests of an account that a pull of the sidecar would get.
-    fn count_allowed(
+    /// Number of an account's requests that the sidecar could pull now.
+    fn eligible_count(
         &self,
         now: Duration,
         host: &HostName,
         pool: &PoolName,
         account: &AccountName,
     ) -> usize {
-        let live = |waiting: &Waiting| {
-            waiting.deadline > now && may_run_at(self.sidecars.iter(), host, waiting)
+        let eligible = |waiting: &Waiting| {
+            waiting.deadline > now && can_run_at(self.sidecars.iter(), host, waiting)
         };
         let queue = self.queues.get(pool);
-        let count = queue.map_or(0, |queue| queue.count_allowed(account, live));
-        count.min(self.concurrency.room(account))
+        let count = queue.map_or(0, |queue| queue.count_allowed(account, eligible));
+        count.min(self.concurrency.headroom(account))
     }
 
-    fn wait_of(
+    fn account_wait(
         &self,
         now: Duration,
         pool: &PoolName,
--- a/crates/router/src/sidecar/action.rs
+++ b/crates/router/src/sidecar/action.rs
@@ -1,4 +1,4 @@
-//! What the sidecar core wants done, and what it is told of runs.
+//! Actions that the sidecar core requests from its daemon, and the outcomes of runs.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, FailReason, FromSidecar};
 
-/// What the daemon is to do.
+/// An action for the daemon to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SidecarAction {
     /// Send a control message to an entry.
@@ -16,7 +16,7 @@
         /// The message.
         message: FromSidecar,
     },
-    /// End an attempt that runs: its caller has gone.
+    /// Cancel a running attempt whose caller has disconnected.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
@@ -26,18 +26,18 @@
 /// How an attempt ended at its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The answer is whole.
+    /// The answer is complete.
     Finished,
-    /// The upstream can't be connected to; nothing was sent.
+    /// The connection to the upstream failed; nothing was sent.
     NotReached,
-    /// It failed.
+    /// The attempt failed after it was sent.
     Failed(FailReason),
 }
 
 impl RunOutcome {
-    /// What the end says of the upstream.
+    /// The outcome as the concurrency window of the upstream counts it.
     #[must_use]
-    pub fn end(self) -> RunEnd {
+    pub fn run_end(self) -> RunEnd {
         match self {
             Self::Finished => RunEnd::Finished,
             Self::Failed(FailReason::Cancelled | FailReason::PiecesGone) => RunEnd::Cancelled,
--- a/crates/router/src/sidecar/starts.rs
+++ b/crates/router/src/sidecar/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at the sidecar core: whether they start, what they are charged, how they end.
+//! Attempts at the sidecar: the decision to start them, their charges and their ends.
 
 use std::time::Duration;
 
@@ -16,42 +16,42 @@
 impl SidecarCore {
     /// Decides whether an attempt starts, and on which upstream.
     ///
-    /// This is the one place that decides: after `Ok` the upstream may see the request, after `Err`
-    /// it never will by this attempt.
+    /// Every start is decided here: after `Ok` the request may reach the upstream, after `Err` it
+    /// never does by this attempt.
     ///
     /// # Errors
-    /// Returns the reason for which the attempt is not started.
+    /// Returns the reason why the attempt is not started.
     pub fn begin(
         &mut self,
         now: Duration,
         from: &HostName,
         begin: &Begin,
     ) -> Result<UpstreamName, NotStartedReason> {
-        if begin.sidecar != self.me {
+        if begin.sidecar != self.incarnation {
             return Err(NotStartedReason::OtherIncarnation);
         }
         if self.runs.contains(begin.attempt) {
             return Err(NotStartedReason::Duplicate);
         }
         let upstream = self.slot_for(now, from, begin)?;
-        let more_waits = self.fair.choose(&begin.pool).is_some();
+        let has_waiting = self.fair.choose(&begin.pool).is_some();
         let slots = self.upstreams.get_mut(&upstream);
         let slots = slots.ok_or(NotStartedReason::Leaving)?;
-        keep_apart(slots, begin)?;
+        isolate_suspect(slots, begin)?;
         if !begin.repeatable && !self.dispatched.dispatch(begin.attempt) {
-            // Held on, the place of the suspect that does not start would keep all others out.
-            slots.apart.leave(&suspect_key(&content_key(begin)));
+            // The suspect does not start, so it must not block other suspects.
+            slots.isolation.leave(&suspect_key(&content_key(begin)));
             return Err(NotStartedReason::Duplicate);
         }
-        slots.window.on_start(now, more_waits);
-        let place = (upstream.clone(), slots.generation);
+        slots.window.on_start(now, has_waiting);
+        let slot = (upstream.clone(), slots.generation);
         let charge = self.fair.start(&begin.account, Some(begin.estimate));
-        let run = Run::new(begin, place, charge, now);
+        let run = Run::new(begin, slot, charge, now);
         self.runs.insert(begin.attempt, run);
         Ok(upstream)
     }
 
-    /// The first piece of an attempt's answer has come.
+    /// Records the first chunk of an attempt's answer.
     pub fn first_piece(&mut self, now: Duration, attempt: AttemptId) {
         let Some(run) = self.runs.get_mut(attempt) else {
             return;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Counts tokens and service while an attempt runs; both are totals so far.
+    /// Records the tokens and service of a running attempt, as totals since its start.
     pub fn progress(
         &mut self,
         now: Duration,
@@ -75,14 +75,14 @@
             return;
         };
         self.fair.stream(&mut run.charge, total);
-        let gap = run.gap(now, tokens);
+        let gap = run.token_gap(now, tokens);
         let slots = self.upstreams.of_generation(&run.upstream, run.generation);
         if let (Some(gap), Some(slots)) = (gap, slots) {
             slots.window.on_gap(gap, now);
         }
     }
 
-    /// Settles an attempt that has ended and frees its slot.
+    /// Settles the charge of an attempt that has ended, and frees its slot.
     pub fn finish(
         &mut self,
         now: Duration,
@@ -95,12 +95,12 @@
         };
         self.fair.stream(&mut run.charge, total);
         self.fair.settle(run.charge);
-        let end = outcome.end();
+        let end = outcome.run_end();
         let slots = self.upstreams.of_generation(&run.upstream, run.generation);
         if let Some(slots) = slots {
             slots.window.on_end(run.started, now, end);
             if !run.suspected_of.is_empty() {
-                slots.apart.leave(&suspect_key(&run.key));
+                slots.isolation.leave(&suspect_key(&run.key));
             }
             match end {
                 RunEnd::Finished => slots.health.on_event(HealthEvent::Succeeded, now),
@@ -110,17 +110,17 @@
         }
         if end == RunEnd::Finished && !run.suspected_of.is_empty() {
             let (key, crashes) = (run.key, run.suspected_of);
-            self.tell_all(&FromSidecar::Cleared { key, crashes });
+            self.broadcast(&FromSidecar::Cleared { key, crashes });
         }
     }
 
-    /// An upstream has crashed with `suspects` in flight.
+    /// Records the crash of an upstream that ran `suspects`, and reports it to all entries.
     pub fn crashed(&mut self, now: Duration, upstream: &UpstreamName, suspects: Vec<ContentKey>) {
         if let Some(slots) = self.upstreams.get_mut(upstream) {
             slots.health.on_event(HealthEvent::Down, now);
         }
-        let news = self.crashes.notice(now, upstream, suspects);
-        self.tell_all(&FromSidecar::Crashed(news));
+        let report = self.crashes.record(now, upstream, suspects);
+        self.broadcast(&FromSidecar::Crashed(report));
     }
 
     fn slot_for(
@@ -131,32 +131,30 @@
     ) -> Result<UpstreamName, NotStartedReason> {
         let pulled = match begin.cause {
             BeginCause::Pull { pull } => {
-                let reserved = self.pulls.take(now, pull);
-                let reserved = reserved.ok_or(NotStartedReason::PullExpired)?;
-                let place = (reserved.upstream.clone(), reserved.generation);
-                self.unreserve(reserved);
-                Some(place)
+                let reservation = self.pulls.take(now, pull);
+                let reservation = reservation.ok_or(NotStartedReason::PullExpired)?;
+                let slot = (reservation.upstream.clone(), reservation.generation);
+                self.unreserve(reservation);
+                Some(slot)
             }
             BeginCause::Offer if !begin.repeatable => return Err(NotStartedReason::PullExpired),
             BeginCause::Offer => {
-                self.entries.count_offer(from, &begin.pool);
+                self.entries.on_offer(from, &begin.pool);
                 None
             }
             BeginCause::Resume { .. } => return Err(NotStartedReason::Duplicate),
         };
-        if self.leaving {
+        if self.draining {
             return Err(NotStartedReason::Leaving);
         }
-        let kept = pulled.and_then(|place| self.still_open(now, place, &begin.pool));
-        let upstream = kept.or_else(|| self.upstreams.freest(now, &begin.pool));
+        let reserved = pulled.and_then(|slot| self.if_still_usable(now, slot, &begin.pool));
+        let upstream = reserved.or_else(|| self.upstreams.with_most_free(now, &begin.pool));
         upstream.ok_or(NotStartedReason::Busy)
     }
 
-    /// The upstream of a reservation, if it still takes work of the pool.
-    ///
-    /// Between the pull and the start it may have announced that it leaves, fallen silent or changed
-    /// its pool: the request would run on an upstream that is going away, or on a wrong one.
-    fn still_open(
+    /// The upstream of a reservation, if it still accepts work of the pool: between the pull and
+    /// the start it may have announced that it leaves, stopped announcing or changed its pool.
+    fn if_still_usable(
         &self,
         now: Duration,
         (upstream, generation): (UpstreamName, u64),
@@ -168,12 +166,12 @@
     }
 }
 
-/// A suspect of crashes starts only where no other suspect runs.
-fn keep_apart(slots: &mut UpstreamSlots, begin: &Begin) -> Result<(), NotStartedReason> {
+/// Admits a crash suspect only if no other suspect runs on the upstream.
+fn isolate_suspect(slots: &mut UpstreamSlots, begin: &Begin) -> Result<(), NotStartedReason> {
     if begin.suspected_of.is_empty() {
         return Ok(());
     }
-    if slots.apart.enter(&suspect_key(&content_key(begin))) {
+    if slots.isolation.enter(&suspect_key(&content_key(begin))) {
         Ok(())
     } else {
         Err(NotStartedReason::OtherSuspect)
--- a/crates/router/src/sidecar/core.rs
+++ b/crates/router/src/sidecar/core.rs
@@ -1,4 +1,4 @@
-//! The sidecar core: slots come free, work is pulled into them, and every start is decided here.
+//! The sidecar core: pulls work into free slots and decides which attempts start.
 
 use std::time::Duration;
 
@@ -6,55 +6,55 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AccountWait, AttemptId, ContentKey, FromSidecar, ToSidecar};
 
+use super::entry_updates::{EntryTable, Slots};
 use super::runs::Runs;
-use super::told::{Entries, Slots};
-use super::waits::Left;
-use super::{Crashes, Dispatched, PullTable, SidecarAction, UpstreamTable, WaitTable};
+use super::wait_table::RemainingWait;
+use super::{CrashLog, DispatchLog, PullTable, SidecarAction, UpstreamTable, WaitTable};
 
-/// What a sidecar core is made with.
+/// Configuration of a sidecar core.
 #[derive(Debug, Clone)]
 pub struct SidecarConfig {
     /// Its host.
     pub host: HostName,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// How it chooses whose work it pulls.
+    /// How it chooses the account whose work it pulls.
     pub policy: ChoicePolicy,
-    /// Furthest that two waiting accounts may stand apart, in units at weight 1.
+    /// Largest difference between two waiting accounts, in service units at weight 1.
     pub horizon: ServiceUnits,
 }
 
-/// Slots, waiting work and service as one sidecar knows them.
+/// A sidecar's view of slots, waiting requests and service.
 #[derive(Debug)]
 pub struct SidecarCore {
-    pub(super) me: Incarnation,
+    pub(super) incarnation: Incarnation,
     pub(super) upstreams: UpstreamTable,
     pub(super) waits: WaitTable,
     pub(super) pulls: PullTable,
     pub(super) fair: FairLedger,
     pub(super) runs: Runs,
-    pub(super) dispatched: Dispatched,
-    pub(super) crashes: Crashes,
-    pub(super) entries: Entries,
-    pub(super) leaving: bool,
+    pub(super) dispatched: DispatchLog,
+    pub(super) crashes: CrashLog,
+    pub(super) entries: EntryTable,
+    pub(super) draining: bool,
     pub(super) actions: Vec<SidecarAction>,
 }
 
 impl SidecarCore {
-    /// A sidecar core with no upstream and nothing waiting.
+    /// Creates a sidecar core without upstreams or waiting requests.
     #[must_use]
     pub fn new(cfg: SidecarConfig) -> Self {
         Self {
-            me: cfg.incarnation,
+            incarnation: cfg.incarnation,
             upstreams: UpstreamTable::default(),
             waits: WaitTable::default(),
             pulls: PullTable::default(),
             fair: FairLedger::new(cfg.policy, cfg.horizon),
             runs: Runs::default(),
-            dispatched: Dispatched::default(),
-            crashes: Crashes::new(cfg.host, cfg.incarnation),
-            entries: Entries::default(),
-            leaving: false,
+            dispatched: DispatchLog::default(),
+            crashes: CrashLog::new(cfg.host, cfg.incarnation),
+            entries: EntryTable::default(),
+            draining: false,
             actions: Vec::new(),
         }
     }
@@ -65,33 +65,33 @@
         &self.upstreams
     }
 
-    /// The upstreams, to be changed; the next [`SidecarCore::take_actions`] pulls into new slots.
+    /// The upstreams, mutable; the next [`SidecarCore::take_actions`] pulls into new slots.
     pub fn upstreams_mut(&mut self) -> &mut UpstreamTable {
         &mut self.upstreams
     }
 
-    /// Service per account, and whose turn it is.
+    /// Service per account, by which the next account is chosen.
     #[must_use]
     pub fn fair(&self) -> &FairLedger {
         &self.fair
     }
 
-    /// Service per account, to take in weights and service elsewhere.
+    /// Service per account, mutable, to set weights and to merge service on other hosts.
     pub fn fair_mut(&mut self) -> &mut FairLedger {
         &mut self.fair
     }
 
-    /// Service per account, to be changed, and what waits at the entries.
+    /// Service per account, mutable, and the requests that wait at the entries.
     pub fn fair_and_waits(&mut self) -> (&mut FairLedger, &WaitTable) {
         (&mut self.fair, &self.waits)
     }
 
-    /// Starts to leave: no new work from now on.
+    /// Starts to drain: the sidecar accepts no new work from now on.
     pub fn leave(&mut self) {
-        self.leaving = true;
+        self.draining = true;
     }
 
-    /// Attempts in progress.
+    /// Number of running attempts.
     #[must_use]
     pub fn running(&self) -> usize {
         self.runs.len()
@@ -103,38 +103,38 @@
         self.runs.get(attempt).map(|run| &run.upstream)
     }
 
-    /// What an upstream runs.
+    /// Content keys of the requests that an upstream runs.
     #[must_use]
     pub fn keys_on(&self, upstream: &UpstreamName) -> Vec<ContentKey> {
         self.runs.keys_on(upstream)
     }
 
-    /// A connection from an entry came up: it is told of crashes, and of free slots with the next
-    /// actions.
+    /// Registers a newly connected entry: sends it the recent crashes, and the free slots with the
+    /// next actions.
     ///
-    /// What was asked over an earlier connection gets no answer: its end may not have been noticed
-    /// yet, and its slots would stay reserved beside waiting work.
+    /// Pulls over an earlier connection get no answer, and its loss may not have been detected yet.
+    /// They are released here, so that their slots don't stay reserved while requests wait.
     pub fn entry_up(&mut self, now: Duration, entry: HostName) {
-        self.forget_waits(now, &entry);
-        self.end_pulls(now, Some(&entry));
-        for news in self.crashes.recent(now) {
+        self.remove_waits(now, &entry);
+        self.expire_pulls(now, Some(&entry));
+        for report in self.crashes.recent(now) {
             let to = entry.clone();
             self.actions.push(SidecarAction::Send {
                 to,
-                message: FromSidecar::Crashed(news),
+                message: FromSidecar::Crashed(report),
             });
         }
-        self.entries.up(entry);
+        self.entries.on_connected(entry);
     }
 
-    /// The connection from an entry is gone: its pulls end, its waiting work is forgotten.
+    /// Removes an entry whose connection was lost, with its pulls and waiting requests.
     pub fn entry_down(&mut self, now: Duration, entry: &HostName) {
-        self.entries.down(entry);
-        self.forget_waits(now, entry);
-        self.end_pulls(now, Some(entry));
+        self.entries.on_disconnected(entry);
+        self.remove_waits(now, entry);
+        self.expire_pulls(now, Some(entry));
     }
 
-    /// Takes in a message from an entry.
+    /// Handles a message from an entry.
     pub fn on_message(&mut self, now: Duration, from: &HostName, message: ToSidecar) {
         match message {
             ToSidecar::Waits {
@@ -145,34 +145,34 @@
                 self.on_waits(now, from, &pool, full, &changes);
             }
             ToSidecar::Nothing { pull } => {
-                if let Some(reserved) = self.pulls.release(pull) {
-                    self.unreserve(reserved);
+                if let Some(reservation) = self.pulls.release(pull) {
+                    self.unreserve(reservation);
                 }
             }
             ToSidecar::Cancel { attempt } => {
                 self.actions.push(SidecarAction::Cancel { attempt });
             }
-            ToSidecar::Disown { attempt } => self.disown(now, from, attempt),
+            ToSidecar::Disown { attempt } => self.on_disown(now, from, attempt),
         }
-        self.end_pulls(now, None);
+        self.expire_pulls(now, None);
     }
 
-    /// Takes in prefixes that an upstream of the pool has cached, to be told to the entries.
+    /// Adds prefixes that an upstream of the pool has cached, to be reported to the entries.
     pub fn learn_cached(&mut self, pool: &PoolName, prefixes: &[u64]) {
         if !prefixes.is_empty() {
-            self.entries.learn_cached(pool, prefixes);
+            self.entries.add_cached_prefixes(pool, prefixes);
         }
     }
 
-    /// Ends expired reservations and forgets silent upstreams.
+    /// Releases expired reservations and removes upstreams whose announcements have expired.
     pub fn tick(&mut self, now: Duration) {
-        self.end_pulls(now, None);
+        self.expire_pulls(now, None);
         self.dispatched.tick(now);
         self.upstreams.tick(now);
-        self.upstreams.forget_silent(now);
+        self.upstreams.remove_expired(now);
     }
 
-    /// Takes the actions that have come up: pulls for free slots, and news of free slots.
+    /// Pulls into free slots, reports free slots to the entries, and returns all pending actions.
     pub fn take_actions(&mut self, now: Duration) -> Vec<SidecarAction> {
         let served = self.served(now);
         for pool in &served {
@@ -186,7 +186,7 @@
                 pool,
             })
             .collect();
-        for (to, message) in self.entries.news(&free) {
+        for (to, message) in self.entries.updates(&free) {
             self.actions.push(SidecarAction::Send { to, message });
         }
         std::mem::take(&mut self.actions)
@@ -201,8 +201,8 @@
         changes: &[AccountWait],
     ) {
         if full {
-            let gone = self.waits.forget_pool(from, pool);
-            self.lower_waits(now, gone);
+            let remaining = self.waits.remove_pool(from, pool);
+            self.apply_remaining(now, remaining);
         }
         for change in changes {
             let (count, oldest) = self.waits.update(now, from, pool, change);
@@ -211,27 +211,27 @@
         }
     }
 
-    fn forget_waits(&mut self, now: Duration, entry: &HostName) {
-        let gone = self.waits.forget(entry);
-        self.lower_waits(now, gone);
+    fn remove_waits(&mut self, now: Duration, entry: &HostName) {
+        let remaining = self.waits.remove_entry(entry);
+        self.apply_remaining(now, remaining);
     }
 
-    fn lower_waits(&mut self, now: Duration, left: Vec<Left>) {
-        for Left {
+    fn apply_remaining(&mut self, now: Duration, remaining: Vec<RemainingWait>) {
+        for RemainingWait {
             pool,
             account,
             count,
             oldest,
-        } in left
+        } in remaining
         {
             let waiting = Waiting::new(count, oldest);
             self.fair.set_waiting(&pool, &account, waiting, now);
         }
     }
 
-    /// The pools that it serves now: those with a live upstream that stays.
+    /// The pools with a live upstream that is not leaving; none while the sidecar drains.
     fn served(&self, now: Duration) -> Vec<PoolName> {
-        if self.leaving {
+        if self.draining {
             return Vec::new();
         }
         let pools = self.upstreams.pools(now).into_iter();
@@ -241,15 +241,15 @@
             .collect()
     }
 
-    fn disown(&mut self, now: Duration, from: &HostName, attempt: AttemptId) {
-        let never = self.dispatched.disown(now, attempt);
+    fn on_disown(&mut self, now: Duration, from: &HostName, attempt: AttemptId) {
+        let never = self.dispatched.abandon(now, attempt);
         let message = FromSidecar::Disowned { attempt, never };
         let to = from.clone();
         self.actions.push(SidecarAction::Send { to, message });
     }
 
-    pub(super) fn tell_all(&mut self, message: &FromSidecar) {
-        for to in self.entries.names() {
+    pub(super) fn broadcast(&mut self, message: &FromSidecar) {
+        for to in self.entries.hosts() {
             let (to, message) = (to.clone(), message.clone());
             self.actions.push(SidecarAction::Send { to, message });
         }
--- a/crates/router/src/sidecar/crashes.rs
+++ b/crates/router/src/sidecar/crash_log.rs
@@ -1,4 +1,4 @@
-//! Crashes that this sidecar run has noticed, to be told to every entry.
+//! Recent crashes of the upstreams beside a sidecar, to be reported to every entry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,65 +8,65 @@
 
 use super::action::millis_since;
 
-/// How long a crash is told to entries that connect; they hold it no longer.
-const TOLD_FOR: Duration = Duration::from_secs(600);
-/// Crashes told at most: an upstream that crashes by itself all the time says nothing of requests.
-const MAX_TOLD: usize = 64;
+/// How long a crash is reported to entries that connect; they keep it no longer.
+const RETENTION: Duration = Duration::from_secs(600);
+/// Largest number of crashes to report; bounds the log if an upstream crashes repeatedly by itself.
+const MAX_RECENT: usize = 64;
 
-/// Crashes in the order in which they were noticed.
+/// Crashes recorded by one sidecar incarnation, oldest first.
 #[derive(Debug)]
-pub struct Crashes {
+pub struct CrashLog {
     host: HostName,
     incarnation: Incarnation,
-    noticed: u64,
+    recorded: u64,
     recent: VecDeque<(Duration, CrashNews)>,
 }
 
-impl Crashes {
-    /// No crash yet.
+impl CrashLog {
+    /// Creates an empty log.
     #[must_use]
     pub fn new(host: HostName, incarnation: Incarnation) -> Self {
         Self {
             host,
             incarnation,
-            noticed: 0,
+            recorded: 0,
             recent: VecDeque::new(),
         }
     }
 
-    /// Numbers a crash.
-    pub fn notice(
+    /// Records a crash under the next number, and returns its report.
+    pub fn record(
         &mut self,
         now: Duration,
         upstream: &UpstreamName,
         suspects: Vec<ContentKey>,
     ) -> CrashNews {
-        self.noticed += 1;
+        self.recorded += 1;
         let crash = CrashRef {
             host: self.host.clone(),
             incarnation: self.incarnation,
-            number: self.noticed,
+            number: self.recorded,
         };
-        let news = CrashNews {
+        let report = CrashNews {
             crash,
             upstream: upstream.clone(),
             suspects,
             age_ms: 0,
         };
-        self.recent.push_back((now, news.clone()));
-        if self.recent.len() > MAX_TOLD {
+        self.recent.push_back((now, report.clone()));
+        if self.recent.len() > MAX_RECENT {
             self.recent.pop_front();
         }
-        news
+        report
     }
 
-    /// The crashes that an entry which connects now should know of.
+    /// The crashes to report to an entry that connects now.
     pub fn recent(&mut self, now: Duration) -> impl Iterator<Item = CrashNews> {
         self.recent
-            .retain(|(at, _)| now.saturating_sub(*at) < TOLD_FOR);
-        self.recent.iter().map(move |(at, news)| CrashNews {
+            .retain(|(at, _)| now.saturating_sub(*at) < RETENTION);
+        self.recent.iter().map(move |(at, report)| CrashNews {
             age_ms: millis_since(*at, now),
-            ..news.clone()
+            ..report.clone()
         })
     }
 }
--- a/crates/router/src/sidecar/mod.rs
+++ b/crates/router/src/sidecar/mod.rs
@@ -1,21 +1,21 @@
-//! The sidecar's side of late binding: free slots, and whose work is pulled into them.
+//! The sidecar's side of late binding: free slots, and the work pulled into them.
 
 mod action;
+mod attempts;
 mod core;
-mod crashes;
-mod dispatched;
+mod crash_log;
+mod dispatch_log;
+mod entry_updates;
+mod pull_table;
 mod pulling;
-mod pulls;
 mod runs;
-mod starts;
-mod told;
 mod upstreams;
-mod waits;
+mod wait_table;
 
 pub use action::{RunOutcome, SidecarAction};
 pub use core::{SidecarConfig, SidecarCore};
-pub use crashes::Crashes;
-pub use dispatched::Dispatched;
-pub use pulls::{PULL_TIMEOUT, PullTable, Reserved};
+pub use crash_log::CrashLog;
+pub use dispatch_log::DispatchLog;
+pub use pull_table::{PULL_TIMEOUT, PullTable, Reservation};
 pub use upstreams::{News, UpstreamSlots, UpstreamTable};
-pub use waits::{Left, WaitTable};
+pub use wait_table::{RemainingWait, WaitTable};
--- a/crates/router/src/sidecar/pulling.rs
+++ b/crates/router/src/sidecar/pulling.rs
@@ -1,31 +1,32 @@
-//! Whose work a free slot is filled with.
+//! Pulls: the choice of account and entry for a free slot.
 
 use std::time::Duration;
 
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::FromSidecar;
 
-use super::{PULL_TIMEOUT, Reserved, SidecarAction, SidecarCore};
+use super::{PULL_TIMEOUT, Reservation, SidecarAction, SidecarCore};
 
-/// How many accounts a pull names: the first may have been emptied by another sidecar meanwhile. With
-/// a second one, hardly any pull of a saturated pool goes without an answer.
+/// Number of accounts that a pull names. Another sidecar may have taken the last request of the
+/// first one, and a second keeps most pulls of a saturated pool from being answered with nothing.
 const RANKED_ACCOUNTS: usize = 2;
 
 impl SidecarCore {
-    /// Reserves a free slot of a pool and asks for work; whether there was a slot and work to ask for.
+    /// Reserves a free slot of a pool and sends a pull for it. Returns false if the pool has no
+    /// free slot or no waiting work.
     pub(super) fn pull_one(&mut self, now: Duration, pool: &PoolName) -> bool {
-        if self.leaving {
+        if self.draining {
             return false;
         }
-        let Some(upstream) = self.upstreams.freest(now, pool) else {
+        let Some(upstream) = self.upstreams.with_most_free(now, pool) else {
             return false;
         };
-        let asked =
-            |account: &AccountName, entry: &HostName| self.pulls.asked(pool, account, entry);
+        let in_flight =
+            |account: &AccountName, entry: &HostName| self.pulls.in_flight(pool, account, entry);
         let choice = self.fair.ranked(pool).find_map(|account| {
             let entry = self
                 .waits
-                .entry_for(pool, account, |entry| asked(account, entry))?;
+                .entry_for(pool, account, |entry| in_flight(account, entry))?;
             Some((account.clone(), entry))
         });
         let Some((account, entry)) = choice else {
@@ -35,18 +36,19 @@
             .fair
             .ranked(pool)
             .skip_while(|ranked| **ranked != account);
-        let at_entry = from_choice.filter(|ranked| self.waits.waits_at(pool, ranked, &entry));
-        let accounts = at_entry.take(RANKED_ACCOUNTS).cloned().collect();
+        let waiting_at_entry =
+            from_choice.filter(|ranked| self.waits.waits_at(pool, ranked, &entry));
+        let accounts = waiting_at_entry.take(RANKED_ACCOUNTS).cloned().collect();
         let Some(slots) = self.upstreams.get_mut(&upstream) else {
             return false;
         };
         slots.reserved += 1;
         let generation = slots.generation;
-        self.waits.note_asked(pool, &account, &entry);
+        self.waits.record_pull(pool, &account, &entry);
         let pool = pool.clone();
         let until = now + PULL_TIMEOUT;
         let charge = self.fair.start(&account, None);
-        let reserved = Reserved {
+        let reservation = Reservation {
             entry: entry.clone(),
             account,
             pool: pool.clone(),
@@ -55,7 +57,7 @@
             until,
             charge,
         };
-        let pull = self.pulls.reserve(reserved);
+        let pull = self.pulls.reserve(reservation);
         let message = FromSidecar::Pull {
             pull,
             pool,
@@ -66,18 +68,21 @@
         true
     }
 
-    pub(super) fn unreserve(&mut self, reserved: Reserved) {
-        self.fair.abandon(reserved.charge);
-        let (upstream, generation) = (&reserved.upstream, reserved.generation);
+    pub(super) fn unreserve(&mut self, reservation: Reservation) {
+        self.fair.abandon(reservation.charge);
+        let (upstream, generation) = (&reservation.upstream, reservation.generation);
         if let Some(slots) = self.upstreams.of_generation(upstream, generation) {
-            assert!(slots.reserved > 0, "a slot of {upstream} is freed twice");
+            assert!(
+                slots.reserved > 0,
+                "a reservation of {upstream} is released twice"
+            );
             slots.reserved -= 1;
         }
     }
 
-    pub(super) fn end_pulls(&mut self, now: Duration, gone: Option<&HostName>) {
-        for (_, reserved) in self.pulls.expire(now, gone) {
-            self.unreserve(reserved);
+    pub(super) fn expire_pulls(&mut self, now: Duration, disconnected: Option<&HostName>) {
+        for (_, reservation) in self.pulls.expire(now, disconnected) {
+            self.unreserve(reservation);
         }
     }
 }
--- a/crates/router/src/sidecar/runs.rs
+++ b/crates/router/src/sidecar/runs.rs
@@ -1,4 +1,4 @@
-//! Attempts that run, and what they have been charged.
+//! Running attempts and their charges.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,17 +7,17 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, Begin, ContentKey, CrashRef};
 
-/// One attempt that runs.
+/// A running attempt.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) upstream: UpstreamName,
-    /// Which slots of the upstream it holds one of.
+    /// The upstream's generation of slots in which it runs.
     pub(super) generation: u64,
     pub(super) key: ContentKey,
     pub(super) suspected_of: Vec<CrashRef>,
     pub(super) charge: RunCharge,
     pub(super) started: Duration,
-    /// When tokens were last counted, and how many there were.
+    /// Time and total of the last token count.
     pub(super) tokens: Option<(Duration, u64)>,
 }
 
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The mean time between the tokens that have come since the last count.
-    pub(super) fn gap(&mut self, now: Duration, tokens: u64) -> Option<Duration> {
+    /// Mean time between the tokens since the last count; `None` without a new token.
+    pub(super) fn token_gap(&mut self, now: Duration, tokens: u64) -> Option<Duration> {
         let (since, before) = self.tokens.replace((now, tokens))?;
         let new = u32::try_from(tokens.checked_sub(before)?)
             .ok()
@@ -53,7 +53,7 @@
     }
 }
 
-/// Attempts by their names.
+/// Running attempts by id.
 #[derive(Debug, Default)]
 pub(super) struct Runs {
     runs: HashMap<AttemptId, Run>,
@@ -62,7 +62,7 @@
 impl Runs {
     pub(super) fn insert(&mut self, attempt: AttemptId, run: Run) {
         let before = self.runs.insert(attempt, run);
-        assert!(before.is_none(), "the attempt {attempt} runs twice");
+        assert!(before.is_none(), "attempt {attempt} is started twice");
     }
 
     pub(super) fn contains(&self, attempt: AttemptId) -> bool {
@@ -85,9 +85,9 @@
         self.runs.len()
     }
 
-    /// What an upstream runs.
+    /// Content keys of the attempts that run on an upstream.
     pub(super) fn keys_on(&self, upstream: &UpstreamName) -> Vec<ContentKey> {
-        let there = self.runs.values().filter(|run| run.upstream == *upstream);
-        there.map(|run| run.key.clone()).collect()
+        let on_upstream = self.runs.values().filter(|run| run.upstream == *upstream);
+        on_upstream.map(|run| run.key.clone()).collect()
     }
 }
--- a/crates/router/src/sidecar/upstreams.rs
+++ b/crates/router/src/sidecar/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams beside a sidecar, and their slots.
+//! The upstreams beside a sidecar and their slots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,41 +8,41 @@
 use coltsfootnotch_decide::window::{ConcurrencyWindow, WindowTargets};
 use coltsfootnotch_types::prelude::*;
 
-/// What an announcement says of an upstream's slots.
+/// The part of an announcement that concerns an upstream's slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct News {
-    /// Until when the announcement holds.
+    /// When the announcement expires.
     pub live_until: Duration,
     /// Whether the upstream is leaving.
     pub leaving: bool,
-    /// Requests that wait inside it, as it reports.
+    /// Requests queued inside the upstream, as it reports.
     pub queued: u32,
-    /// When that was so.
+    /// When the report was made.
     pub reported: Duration,
-    /// Times its window aims at.
+    /// Target times of its concurrency window.
     pub targets: WindowTargets,
 }
 
-/// One upstream as its sidecar counts it.
+/// Slots and state of one upstream.
 #[derive(Debug)]
 pub struct UpstreamSlots {
     /// Its pool.
     pub pool: PoolName,
-    /// How many requests it is let hold at once.
+    /// Limit on its concurrent requests.
     pub window: ConcurrencyWindow,
-    /// How much of the window is used.
+    /// Its health, which scales the usable part of the window.
     pub health: UpstreamHealth,
-    /// How much of it the version that it serves has been given yet.
+    /// Rollout of the version that it serves, which scales the usable part of the window.
     pub version: VersionShift,
-    /// Keeps suspects of crashes apart.
-    pub apart: ApartSlot,
-    /// How many slots are reserved for pulls.
+    /// Admits at most one crash suspect at a time.
+    pub isolation: ApartSlot,
+    /// Number of slots reserved for pulls.
     pub reserved: u32,
-    /// Until when its last announcement holds.
+    /// When its last announcement expires.
     pub live_until: Duration,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Tells its slots from earlier ones under the same name.
+    /// Distinguishes its slots from earlier ones under the same name.
     pub generation: u64,
 }
 
@@ -54,14 +54,14 @@
             window: ConcurrencyWindow::new(news.targets),
             health: UpstreamHealth::new(now),
             version: VersionShift::new(1.0),
-            apart: ApartSlot::new(),
+            isolation: ApartSlot::new(),
             reserved: 0,
             live_until: news.live_until,
             leaving: news.leaving,
         }
     }
 
-    /// Slots that are used at all, free or not; none while it is leaving or silent.
+    /// Usable slots, free or not; zero while it is leaving or its announcement has expired.
     #[must_use]
     pub fn usable(&self, now: Duration) -> u32 {
         if self.leaving || self.live_until <= now {
@@ -71,40 +71,39 @@
         usable_slots(self.window.limit(), share)
     }
 
-    /// It serves another version from now on, which gets its work at a stated rate: a version that
-    /// is bad has by then been seen to be with little of the work.
+    /// Starts the gradual rollout of another version that the upstream serves from now on, so that
+    /// a bad version fails few requests before it is noticed.
     pub fn change_version(&mut self, now: Duration) {
         self.version = VersionShift::new(0.0);
         self.version.aim(1.0, now);
     }
 
-    /// Slots that may be given out now.
+    /// Slots that may be used or reserved now.
     #[must_use]
     pub fn free(&self, now: Duration) -> u32 {
         let held = self.window.in_flight() + self.reserved;
         self.usable(now).saturating_sub(held)
     }
 
-    fn hear(&mut self, now: Duration, news: News) {
+    fn apply(&mut self, now: Duration, news: News) {
         self.live_until = news.live_until;
         if news.leaving && !self.leaving {
             self.health.on_event(HealthEvent::Leaving, now);
         }
         if !news.leaving && self.leaving {
-            // It stays after all, or has loaded what its pool needs: its caches are cold, so it gets
-            // its work back by the ramp of an upstream that was down.
+            // Its caches may be cold, so its work returns at the ramp of an upstream that was down.
             self.health = UpstreamHealth::new(now);
             self.health.on_event(HealthEvent::Down, now);
         }
         self.leaving = news.leaving;
         self.health.on_event(HealthEvent::Alive, now);
-        // The first announcement may come before the first configuration, which states the targets.
+        // The first announcement may arrive before the configuration that sets the targets.
         self.window.aim_at(news.targets);
         self.window.on_load_report(news.reported, news.queued);
     }
 }
 
-/// Every upstream beside one sidecar.
+/// All upstreams beside one sidecar.
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     generations: u64,
@@ -112,15 +111,15 @@
 }
 
 impl UpstreamTable {
-    /// Takes in an announcement: a new upstream, or news of a known one.
+    /// Applies an announcement to a new or existing upstream.
     ///
-    /// An upstream that comes back under another pool starts over: its window was found for another
-    /// kind of work. Runs that it still has belong to the slots of before, by their generation:
-    /// counted off from the new ones, they would free slots that were never taken.
+    /// An upstream that changes its pool starts with new slots, since its window was fitted to
+    /// other work. Its current runs belong to the previous generation of slots: counted on the new
+    /// ones, their ends free slots that were never taken.
     pub fn announce(&mut self, now: Duration, name: UpstreamName, pool: PoolName, news: News) {
-        let known = self.upstreams.get_mut(&name);
-        match known {
-            Some(slots) if slots.pool == pool => slots.hear(now, news),
+        let existing = self.upstreams.get_mut(&name);
+        match existing {
+            Some(slots) if slots.pool == pool => slots.apply(now, news),
             _ => {
                 self.generations += 1;
                 let slots = UpstreamSlots::new(pool, self.generations, now, news);
@@ -129,28 +128,28 @@
         }
     }
 
-    /// Lets windows and health move on with time.
+    /// Advances the concurrency windows to `now`.
     pub fn tick(&mut self, now: Duration) {
         for slots in self.upstreams.values_mut() {
             slots.window.on_tick(now);
         }
     }
 
-    /// Free slots of a pool.
+    /// Number of free slots of a pool.
     #[must_use]
     pub fn free(&self, now: Duration, pool: &PoolName) -> u32 {
         self.of_pool(pool).map(|(_, slots)| slots.free(now)).sum()
     }
 
-    /// Slots of a pool in all, free or not.
+    /// Number of usable slots of a pool, free or not.
     #[must_use]
     pub fn usable(&self, now: Duration, pool: &PoolName) -> u32 {
         self.of_pool(pool).map(|(_, slots)| slots.usable(now)).sum()
     }
 
-    /// The upstream of a pool with the most free slots.
+    /// The upstream of a pool with the most free slots; `None` if it has no free slot.
     #[must_use]
-    pub fn freest(&self, now: Duration, pool: &PoolName) -> Option<UpstreamName> {
+    pub fn with_most_free(&self, now: Duration, pool: &PoolName) -> Option<UpstreamName> {
         self.of_pool(pool)
             .map(|(name, slots)| (slots.free(now), name))
             .filter(|(free, _)| *free > 0)
@@ -158,7 +157,7 @@
             .map(|(_, name)| name.clone())
     }
 
-    /// The pools served, each with its live upstreams that are not leaving.
+    /// Number of live upstreams that are not leaving, by pool.
     #[must_use]
     pub fn pools(&self, now: Duration) -> BTreeMap<PoolName, u32> {
         let mut pools = BTreeMap::new();
@@ -169,12 +168,12 @@
         pools
     }
 
-    /// One upstream, to be changed.
+    /// One upstream, mutable.
     pub fn get_mut(&mut self, name: &UpstreamName) -> Option<&mut UpstreamSlots> {
         self.upstreams.get_mut(name)
     }
 
-    /// The slots that something was counted on, to be counted off; none when they are gone.
+    /// The slots of an upstream, if they are still of the given generation.
     pub(super) fn of_generation(
         &mut self,
         name: &UpstreamName,
@@ -195,8 +194,8 @@
         self.upstreams.iter()
     }
 
-    /// Forgets upstreams that are silent and hold nothing.
-    pub fn forget_silent(&mut self, now: Duration) {
+    /// Removes upstreams without a valid announcement, running request or reservation.
+    pub fn remove_expired(&mut self, now: Duration) {
         self.upstreams.retain(|_, slots| {
             slots.live_until > now || slots.window.in_flight() + slots.reserved > 0
         });
--- a/crates/router/src/sidecar/waits.rs
+++ b/crates/router/src/sidecar/wait_table.rs
@@ -1,4 +1,4 @@
-//! What waits at the entries, as they have told.
+//! Waiting requests at the entries, as they have reported them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,40 +6,41 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::AccountWait;
 
-/// What waits of an account, by entry.
-type ByEntry = BTreeMap<HostName, AtEntry>;
+/// Waiting requests of an account, by entry.
+type ByEntry = BTreeMap<HostName, EntryWait>;
 
-/// What waits of an account at one entry.
+/// Waiting requests of an account at one entry.
 #[derive(Debug)]
-struct AtEntry {
+struct EntryWait {
     count: u32,
     since: Duration,
-    /// Number of the turn in which it was last asked.
-    turn: u64,
+    /// Sequence number of the last pull from the entry.
+    last_pull: u64,
 }
 
-/// What is left of an account that waited at an entry that was forgotten.
+/// Waiting requests of an account that remain after an entry was removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Left {
+pub struct RemainingWait {
     /// The pool.
     pub pool: PoolName,
     /// The account.
     pub account: AccountName,
-    /// Requests that wait at other entries.
+    /// Number of its requests at other entries.
     pub count: u32,
     /// When the oldest of them arrived.
     pub oldest: Duration,
 }
 
-/// Waiting work by pool, account and entry.
+/// Waiting requests by pool, account and entry.
 #[derive(Debug, Default)]
 pub struct WaitTable {
     pools: BTreeMap<PoolName, BTreeMap<AccountName, ByEntry>>,
-    turns: u64,
+    pulls: u64,
 }
 
 impl WaitTable {
-    /// Takes in what an entry tells of an account; what waits of it at all entries, and since when.
+    /// Applies an entry's report on an account. Returns the account's number of waiting requests at
+    /// all entries, and the arrival of the oldest.
     pub fn update(
         &mut self,
         now: Duration,
@@ -53,26 +54,33 @@
             entries.remove(entry);
         } else {
             let since = now.saturating_sub(Duration::from_millis(wait.oldest_ms));
-            let turn = entries.get(entry).map_or(0, |at| at.turn);
+            let last_pull = entries.get(entry).map_or(0, |at| at.last_pull);
             let count = wait.count;
-            entries.insert(entry.clone(), AtEntry { count, since, turn });
+            entries.insert(
+                entry.clone(),
+                EntryWait {
+                    count,
+                    since,
+                    last_pull,
+                },
+            );
         }
-        let left = sum(entries);
+        let remaining = sum(entries);
         if entries.is_empty() {
             accounts.remove(&wait.account);
         }
-        left
+        remaining
     }
 
-    /// Forgets an entry whose connection is gone; what is left of the accounts that waited there.
-    pub fn forget(&mut self, entry: &HostName) -> Vec<Left> {
+    /// Removes a disconnected entry. Returns what remains of the accounts that waited there.
+    pub fn remove_entry(&mut self, entry: &HostName) -> Vec<RemainingWait> {
         let pools: Vec<PoolName> = self.pools.keys().cloned().collect();
-        let left = pools.iter().map(|pool| self.forget_pool(entry, pool));
-        left.flatten().collect()
+        let remaining = pools.iter().map(|pool| self.remove_pool(entry, pool));
+        remaining.flatten().collect()
     }
 
-    /// Forgets what waits at an entry in one pool.
-    pub fn forget_pool(&mut self, entry: &HostName, pool: &PoolName) -> Vec<Left> {
+    /// Removes an entry from one pool. Returns what remains of the accounts that waited there.
+    pub fn remove_pool(&mut self, entry: &HostName, pool: &PoolName) -> Vec<RemainingWait> {
         let Some(accounts) = self.pools.get_mut(pool) else {
             return Vec::new();
         };
@@ -80,7 +88,7 @@
         for (account, entries) in accounts.iter_mut() {
             if entries.remove(entry).is_some() {
                 let (count, oldest) = sum(entries);
-                changed.push(Left {
+                changed.push(RemainingWait {
                     pool: pool.clone(),
                     account: account.clone(),
                     count,
@@ -92,7 +100,7 @@
         changed
     }
 
-    /// Every account that waits, whatever the pool.
+    /// The accounts with waiting requests in any pool.
     #[must_use]
     pub fn all_accounts(&self) -> BTreeSet<AccountName> {
         self.pools
@@ -102,35 +110,37 @@
             .collect()
     }
 
-    /// The entry whose turn it is among those with waiting work of an account, less what `asked`
-    /// counts as on its way.
+    /// The entry to pull from: the least recently used one with more waiting requests of the
+    /// account than pulls `in_flight`.
     ///
-    /// In turns, because the counts are rough: asked where most seems to wait, one entry would be
-    /// drained before the next is looked at, and the requests there would wait twice as long as others.
+    /// The counts are rough, so pulling from the entry with the most requests could drain one entry
+    /// while requests at another wait.
     #[must_use]
     pub fn entry_for(
         &self,
         pool: &PoolName,
         account: &AccountName,
-        asked: impl Fn(&HostName) -> u32,
+        in_flight: impl Fn(&HostName) -> u32,
     ) -> Option<HostName> {
         let entries = self.pools.get(pool)?.get(account)?;
-        let open = entries.iter().filter(|(entry, at)| at.count > asked(entry));
-        let next = open.min_by_key(|(_, at)| at.turn);
+        let eligible = entries
+            .iter()
+            .filter(|(entry, at)| at.count > in_flight(entry));
+        let next = eligible.min_by_key(|(_, at)| at.last_pull);
         next.map(|(entry, _)| entry.clone())
     }
 
-    /// Notes that an entry was asked for work of an account.
-    pub fn note_asked(&mut self, pool: &PoolName, account: &AccountName, entry: &HostName) {
-        self.turns += 1;
+    /// Records that a pull for the account was sent to an entry.
+    pub fn record_pull(&mut self, pool: &PoolName, account: &AccountName, entry: &HostName) {
+        self.pulls += 1;
         let accounts = self.pools.get_mut(pool);
         let entries = accounts.and_then(|accounts| accounts.get_mut(account));
         if let Some(at) = entries.and_then(|entries| entries.get_mut(entry)) {
-            at.turn = self.turns;
+            at.last_pull = self.pulls;
         }
     }
 
-    /// Whether an account waits in a pool at an entry.
+    /// Whether an account has waiting requests in a pool at an entry.
     #[must_use]
     pub fn waits_at(&self, pool: &PoolName, account: &AccountName, entry: &HostName) -> bool {
         let entries = self
--- a/crates/router/tests/late_binding/sim/faults.rs
+++ b/crates/router/tests/late_binding/sim/faults.rs
@@ -130,7 +130,7 @@
         self.run(TO_REST);
         self.truth.assert_none_lost();
         for entry in &self.entries {
-            assert_eq!(entry.core.waiting_in_all(), 0, "a request waits for ever");
+            assert_eq!(entry.core.total_waiting(), 0, "a request waits for ever");
         }
         for sidecar in &self.sidecars {
             assert_eq!(sidecar.core.running(), 0, "a run never ends");
@@ -141,7 +141,7 @@
                     "a slot of {name} is never freed"
                 );
                 assert_eq!(slots.reserved, 0, "a slot of {name} stays reserved");
-                assert!(slots.apart.is_free(), "a suspect holds {name} for ever");
+                assert!(slots.isolation.is_free(), "a suspect holds {name} for ever");
             }
         }
     }
