--- a/crates/router/src/entry/action.rs
+++ b/crates/router/src/entry/action.rs
@@ -3,7 +3,7 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, BeginCause, ToSidecar};
 
-use super::Waiting;
+use super::QueuedRequest;
 
 /// An action for the daemon to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     },
     /// Open an attempt at a sidecar. From then on the request may run; only a `NotStarted` reply
     /// rules that out.
-    Begin {
+    OpenAttempt {
         /// The attempt.
         attempt: AttemptId,
         /// The sidecar.
@@ -28,11 +28,11 @@
         cause: BeginCause,
         /// The request; pass it to [`EntryCore::requeue`](super::EntryCore::requeue) if the attempt
         /// is not started.
-        waiting: Waiting,
+        waiting: QueuedRequest,
     },
     /// The request's deadline passed while it waited; it did not run.
     Expired {
         /// The request.
-        waiting: Waiting,
+        waiting: QueuedRequest,
     },
 }
--- a/crates/router/src/entry/core.rs
+++ b/crates/router/src/entry/core.rs
@@ -8,7 +8,7 @@
 use coltsfootnotch_wire::{AttemptId, BeginCause};
 
 use super::concurrency::Concurrency;
-use super::{EntryAction, PoolQueue, SidecarView, Waiting};
+use super::{EntryAction, PoolQueue, QueuedRequest, SidecarView};
 
 /// First backoff of a crash suspect that was refused because another suspect was running; it
 /// doubles with each attempt. Without it a few suspects at the head of their account's queue
@@ -18,7 +18,7 @@
 const MAX_SUSPECT_DOUBLINGS: u32 = 4;
 
 /// An admitted request.
-pub type NewRequest = Waiting;
+pub type NewRequest = QueuedRequest;
 
 /// Request queues of one entry, and its view of the connected sidecars.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
     pub(super) domain: DomainName,
     pub(super) queues: BTreeMap<PoolName, PoolQueue>,
     /// Requests in backoff, by the time at which they return to their queue.
-    delayed: BTreeMap<(Duration, u64), Waiting>,
+    delayed: BTreeMap<(Duration, u64), QueuedRequest>,
     /// Numbers of all waiting requests, delayed ones included.
     pub(super) pending: HashSet<u64>,
     pub(super) sidecars: BTreeMap<HostName, SidecarView>,
@@ -79,7 +79,8 @@
     pub fn waiting_of(&self, pool: &PoolName, account: &AccountName) -> usize {
         let queue = self.queues.get(pool);
         let queued = queue.map_or(0, |queue| queue.count(account));
-        let matches = |waiting: &&Waiting| waiting.pool == *pool && waiting.account == *account;
+        let matches =
+            |waiting: &&QueuedRequest| waiting.pool == *pool && waiting.account == *account;
         queued + self.delayed.values().filter(matches).count()
     }
 
@@ -91,13 +92,13 @@
 
     /// Whether any connected sidecar serves the pool.
     #[must_use]
-    pub fn serves(&self, pool: &PoolName) -> bool {
+    pub fn has_sidecar_for(&self, pool: &PoolName) -> bool {
         self.sidecars.values().any(|view| view.serves(pool))
     }
 
     /// Number of connected sidecars, and the pools that they serve.
     #[must_use]
-    pub fn served(&self) -> (usize, BTreeSet<PoolName>) {
+    pub fn connection_summary(&self) -> (usize, BTreeSet<PoolName>) {
         let views = self.sidecars.values();
         let pools = views.flat_map(|view| view.pools.keys().cloned());
         (self.sidecars.len(), pools.collect())
@@ -117,7 +118,7 @@
     }
 
     /// Records that a started attempt of the account has ended, with any outcome.
-    pub fn ended(&mut self, account: &AccountName) {
+    pub fn on_attempt_ended(&mut self, account: &AccountName) {
         if !self.concurrency.on_ended(account) {
             return;
         }
@@ -132,7 +133,7 @@
     ///
     /// It is not offered again: the view of free slots was stale, and each offer to a saturated
     /// sidecar costs a round trip.
-    pub fn requeue(&mut self, mut waiting: Waiting) {
+    pub fn requeue(&mut self, mut waiting: QueuedRequest) {
         waiting.attempt += 1;
         self.enqueue(waiting, PoolQueue::push_front);
     }
@@ -142,7 +143,7 @@
     ///
     /// Without the backoff it is pulled and refused once per round trip, ahead of the rest of its
     /// account.
-    pub fn hold_back(&mut self, now: Duration, mut waiting: Waiting) {
+    pub fn requeue_with_backoff(&mut self, now: Duration, mut waiting: QueuedRequest) {
         let backoff = SUSPECT_BACKOFF * 2_u32.pow(waiting.attempt.min(MAX_SUSPECT_DOUBLINGS));
         waiting.attempt += 1;
         self.record_pending(waiting.request);
@@ -156,7 +157,7 @@
         pool: &PoolName,
         account: &AccountName,
         request: u64,
-    ) -> Option<Waiting> {
+    ) -> Option<QueuedRequest> {
         if !self.pending.contains(&request) {
             return None;
         }
@@ -176,14 +177,19 @@
 
     /// Registers a newly connected sidecar; it is sent all waits of a pool once it reports that
     /// pool.
-    pub fn sidecar_up(&mut self, host: HostName, incarnation: Incarnation, domain: DomainName) {
-        self.sidecar_down(&host);
+    pub fn on_sidecar_connected(
+        &mut self,
+        host: HostName,
+        incarnation: Incarnation,
+        domain: DomainName,
+    ) {
+        self.on_sidecar_disconnected(&host);
         let view = SidecarView::new(&host, incarnation, domain);
         self.sidecars.insert(host, view);
     }
 
     /// Removes a sidecar whose connection was lost.
-    pub fn sidecar_down(&mut self, host: &HostName) {
+    pub fn on_sidecar_disconnected(&mut self, host: &HostName) {
         let view = self.sidecars.remove(host);
         for pool in view.iter().flat_map(|view| view.pools.keys()) {
             self.mark_avoiding(pool);
@@ -207,7 +213,7 @@
         }
     }
 
-    fn enqueue(&mut self, waiting: Waiting, push: impl Fn(&mut PoolQueue, Waiting)) {
+    fn enqueue(&mut self, waiting: QueuedRequest, push: impl Fn(&mut PoolQueue, QueuedRequest)) {
         self.record_pending(waiting.request);
         self.mark_changed(&waiting);
         let queue = self.queues.entry(waiting.pool.clone()).or_default();
@@ -220,12 +226,12 @@
         assert!(is_new, "request {request} is queued twice");
     }
 
-    pub(super) fn mark_changed(&mut self, waiting: &Waiting) {
+    pub(super) fn mark_changed(&mut self, waiting: &QueuedRequest) {
         let key = (waiting.pool.clone(), waiting.account.clone());
         self.changed.insert(key);
     }
 
-    fn offer(&mut self, to: &HostName, waiting: Waiting) {
+    fn offer(&mut self, to: &HostName, waiting: QueuedRequest) {
         let Some(view) = self.sidecars.get_mut(to) else {
             return self.enqueue(waiting, PoolQueue::push_back);
         };
@@ -243,7 +249,7 @@
         to: &HostName,
         sidecar: Incarnation,
         cause: BeginCause,
-        waiting: Waiting,
+        waiting: QueuedRequest,
     ) {
         if let Some((prefix, view)) = waiting.prefix_key().zip(self.sidecars.get(to)) {
             self.prefixes.on_held(prefix, &view.routing_name, now);
@@ -255,7 +261,7 @@
             attempt: waiting.attempt,
         };
         let to = to.clone();
-        self.actions.push(EntryAction::Begin {
+        self.actions.push(EntryAction::OpenAttempt {
             attempt,
             to,
             sidecar,
--- a/crates/router/src/entry/matching.rs
+++ b/crates/router/src/entry/matching.rs
@@ -5,7 +5,7 @@
 use coltsfootnotch_decide::route::{Candidate, Nearness, place};
 use coltsfootnotch_types::prelude::*;
 
-use super::{EntryCore, PoolView, SidecarView, Waiting};
+use super::{EntryCore, PoolView, QueuedRequest, SidecarView};
 
 impl EntryCore {
     /// The sidecar to offer a request to: among those with a free slot one that has the prefix
@@ -13,7 +13,7 @@
     ///
     /// A call that may not be repeated is never offered: a pull reserves its slot before the intent
     /// is committed, and the pull's number allows a single start.
-    pub(super) fn offer_target(&self, waiting: &Waiting) -> Option<HostName> {
+    pub(super) fn offer_target(&self, waiting: &QueuedRequest) -> Option<HostName> {
         let headroom = self.concurrency.headroom(&waiting.account);
         if !waiting.repeatable || headroom == 0 || self.waiting_in(&waiting.pool) > 0 {
             return None;
@@ -45,13 +45,13 @@
         from: &HostName,
         pool: &PoolName,
         account: &AccountName,
-    ) -> Option<Waiting> {
+    ) -> Option<QueuedRequest> {
         if self.concurrency.headroom(account) == 0 {
             return None;
         }
         let view = self.sidecars.get(from)?;
         let sidecars = &self.sidecars;
-        let allowed = |waiting: &Waiting| {
+        let allowed = |waiting: &QueuedRequest| {
             waiting.deadline > now && can_run_at(sidecars.iter(), from, waiting)
         };
         let queue = self.queues.get_mut(pool)?;
@@ -64,7 +64,7 @@
 pub(super) fn can_run_at<'a>(
     sidecars: impl IntoIterator<Item = (&'a HostName, &'a SidecarView)>,
     host: &HostName,
-    waiting: &Waiting,
+    waiting: &QueuedRequest,
 ) -> bool {
     if !waiting.avoid.contains(host) {
         return true;
--- a/crates/router/src/entry/mod.rs
+++ b/crates/router/src/entry/mod.rs
@@ -13,5 +13,5 @@
 pub use action::EntryAction;
 pub use core::{EntryCore, NewRequest};
 pub use queue::PoolQueue;
-pub use request::Waiting;
+pub use request::QueuedRequest;
 pub use sidecar_view::{PoolView, SidecarView};
--- a/crates/router/src/entry/queue.rs
+++ b/crates/router/src/entry/queue.rs
@@ -6,7 +6,7 @@
 use coltsfootnotch_decide::route::{PrefixMap, WaitingRequest, pick_request};
 use coltsfootnotch_types::prelude::*;
 
-use super::Waiting;
+use super::QueuedRequest;
 
 /// How many of an account's oldest requests are passed to the choice for a pull.
 const LOOKAHEAD: usize = 16;
@@ -27,19 +27,23 @@
 
 #[derive(Debug)]
 struct QueueItem {
-    waiting: Waiting,
+    waiting: QueuedRequest,
     /// How often a younger request was taken first.
     passed: u32,
 }
 
 impl AccountQueue {
-    fn push_with(&mut self, waiting: Waiting, push: impl Fn(&mut VecDeque<QueueItem>, QueueItem)) {
+    fn push_with(
+        &mut self,
+        waiting: QueuedRequest,
+        push: impl Fn(&mut VecDeque<QueueItem>, QueueItem),
+    ) {
         self.avoiding += usize::from(!waiting.avoid.is_empty());
         let passed = 0;
         push(&mut self.requests, QueueItem { waiting, passed });
     }
 
-    fn remove_at(&mut self, index: usize) -> Option<Waiting> {
+    fn remove_at(&mut self, index: usize) -> Option<QueuedRequest> {
         let waiting = self.requests.remove(index)?.waiting;
         self.avoiding -= usize::from(!waiting.avoid.is_empty());
         Some(waiting)
@@ -48,13 +52,13 @@
 
 impl PoolQueue {
     /// Adds a request at the tail of its account's queue.
-    pub fn push_back(&mut self, waiting: Waiting) {
+    pub fn push_back(&mut self, waiting: QueuedRequest) {
         self.queue_for_push(&waiting)
             .push_with(waiting, VecDeque::push_back);
     }
 
     /// Puts a request that was not started back at the head of its account's queue.
-    pub fn push_front(&mut self, waiting: Waiting) {
+    pub fn push_front(&mut self, waiting: QueuedRequest) {
         self.queue_for_push(&waiting)
             .push_with(waiting, VecDeque::push_front);
     }
@@ -66,11 +70,11 @@
     pub fn take(
         &mut self,
         account: &AccountName,
-        allowed: impl Fn(&Waiting) -> bool,
+        allowed: impl Fn(&QueuedRequest) -> bool,
         upstream: &UpstreamName,
         prefixes: &PrefixMap,
         now: Duration,
-    ) -> Option<Waiting> {
+    ) -> Option<QueuedRequest> {
         let queue = self.accounts.get_mut(account)?;
         let numbered = queue.requests.iter().enumerate();
         let eligible: Vec<(usize, &QueueItem)> = numbered
@@ -92,7 +96,7 @@
     }
 
     /// Removes a request from any position.
-    pub fn remove(&mut self, account: &AccountName, request: u64) -> Option<Waiting> {
+    pub fn remove(&mut self, account: &AccountName, request: u64) -> Option<QueuedRequest> {
         let queue = self.accounts.get(account)?;
         let matches = |item: &QueueItem| item.waiting.request == request;
         let index = queue.requests.iter().position(matches)?;
@@ -100,7 +104,7 @@
     }
 
     /// Removes every request for which `expired` returns true.
-    pub fn take_expired(&mut self, expired: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
+    pub fn take_expired(&mut self, expired: impl Fn(&QueuedRequest) -> bool) -> Vec<QueuedRequest> {
         let mut taken = Vec::new();
         for queue in self.accounts.values_mut() {
             let is_expired = |item: &QueueItem| expired(&item.waiting);
@@ -125,7 +129,7 @@
     pub fn count_allowed(
         &self,
         account: &AccountName,
-        allowed: impl Fn(&Waiting) -> bool,
+        allowed: impl Fn(&QueuedRequest) -> bool,
     ) -> usize {
         let requests = self.accounts.get(account).map(|queue| &queue.requests);
         let requests = requests.into_iter().flatten();
@@ -164,12 +168,12 @@
     }
 
     /// The account's queue, for a request that is about to be pushed and is counted here.
-    fn queue_for_push(&mut self, waiting: &Waiting) -> &mut AccountQueue {
+    fn queue_for_push(&mut self, waiting: &QueuedRequest) -> &mut AccountQueue {
         self.len += 1;
         self.accounts.entry(waiting.account.clone()).or_default()
     }
 
-    fn take_at(&mut self, account: &AccountName, index: usize) -> Option<Waiting> {
+    fn take_at(&mut self, account: &AccountName, index: usize) -> Option<QueuedRequest> {
         let queue = self.accounts.get_mut(account)?;
         let waiting = queue.remove_at(index)?;
         if queue.requests.is_empty() {
--- a/crates/router/src/entry/request.rs
+++ b/crates/router/src/entry/request.rs
@@ -7,7 +7,7 @@
 
 /// An admitted request that waits for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Number of the request, unique within the entry's incarnation.
     pub request: u64,
     /// Number of its next attempt, from 0.
@@ -30,7 +30,7 @@
     pub avoid: Vec<HostName>,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// The key of its prompt's prefix, if it has one.
     #[must_use]
     pub fn prefix_key(&self) -> Option<PrefixKey> {
--- a/crates/router/src/entry/wait_updates.rs
+++ b/crates/router/src/entry/wait_updates.rs
@@ -6,7 +6,7 @@
 use coltsfootnotch_wire::{AccountWait, ToSidecar};
 
 use super::matching::can_run_at;
-use super::{EntryAction, EntryCore, PoolQueue, PoolView, Waiting};
+use super::{EntryAction, EntryCore, PoolQueue, PoolView, QueuedRequest};
 
 impl EntryCore {
     /// Sends the changes that are due to each sidecar.
@@ -158,7 +158,7 @@
         pool: &PoolName,
         account: &AccountName,
     ) -> usize {
-        let eligible = |waiting: &Waiting| {
+        let eligible = |waiting: &QueuedRequest| {
             waiting.deadline > now && can_run_at(self.sidecars.iter(), host, waiting)
         };
         let queue = self.queues.get(pool);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -8,13 +8,18 @@
 mod entry;
 mod sidecar;
 
-pub use entry::{EntryAction, EntryCore, NewRequest, PoolQueue, PoolView, SidecarView, Waiting};
+pub use entry::{
+    EntryAction, EntryCore, NewRequest, PoolQueue, PoolView, QueuedRequest, SidecarView,
+};
 pub use sidecar::{
-    CrashLog, DispatchLog, News, PULL_TIMEOUT, PullTable, RemainingWait, Reservation, RunOutcome,
-    SidecarAction, SidecarConfig, SidecarCore, UpstreamSlots, UpstreamTable, WaitTable,
+    CrashLog, DispatchLog, PULL_TIMEOUT, PullTable, RemainingWait, Reservation, RunOutcome,
+    SidecarAction, SidecarConfig, SidecarCore, UpstreamSlots, UpstreamTable, UpstreamUpdate,
+    WaitTable,
 };
 
 /// The types that a daemon needs to drive the cores.
 pub mod prelude {
-    pub use crate::{EntryAction, EntryCore, NewRequest, SidecarAction, SidecarCore, Waiting};
+    pub use crate::{
+        EntryAction, EntryCore, NewRequest, QueuedRequest, SidecarAction, SidecarCore,
+    };
 }
--- a/crates/router/src/sidecar/attempts.rs
+++ b/crates/router/src/sidecar/attempts.rs
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     /// Returns the reason why the attempt is not started.
-    pub fn begin(
+    pub fn try_start(
         &mut self,
         now: Duration,
         from: &HostName,
@@ -34,7 +34,7 @@
             return Err(NotStartedReason::Duplicate);
         }
         let upstream = self.slot_for(now, from, begin)?;
-        let has_waiting = self.fair.choose(&begin.pool).is_some();
+        let has_waiting = self.ledger.choose(&begin.pool).is_some();
         let slots = self.upstreams.get_mut(&upstream);
         let slots = slots.ok_or(NotStartedReason::Leaving)?;
         isolate_suspect(slots, begin)?;
@@ -45,14 +45,14 @@
         }
         slots.window.on_start(now, has_waiting);
         let slot = (upstream.clone(), slots.generation);
-        let charge = self.fair.start(&begin.account, Some(begin.estimate));
+        let charge = self.ledger.start(&begin.account, Some(begin.estimate));
         let run = Run::new(begin, slot, charge, now);
         self.runs.insert(begin.attempt, run);
         Ok(upstream)
     }
 
     /// Records the first chunk of an attempt's answer.
-    pub fn first_piece(&mut self, now: Duration, attempt: AttemptId) {
+    pub fn on_first_chunk(&mut self, now: Duration, attempt: AttemptId) {
         let Some(run) = self.runs.get_mut(attempt) else {
             return;
         };
@@ -74,7 +74,7 @@
         let Some(run) = self.runs.get_mut(attempt) else {
             return;
         };
-        self.fair.stream(&mut run.charge, total);
+        self.ledger.stream(&mut run.charge, total);
         let gap = run.token_gap(now, tokens);
         let slots = self.upstreams.of_generation(&run.upstream, run.generation);
         if let (Some(gap), Some(slots)) = (gap, slots) {
@@ -93,8 +93,8 @@
         let Some(mut run) = self.runs.remove(attempt) else {
             return;
         };
-        self.fair.stream(&mut run.charge, total);
-        self.fair.settle(run.charge);
+        self.ledger.stream(&mut run.charge, total);
+        self.ledger.settle(run.charge);
         let end = outcome.run_end();
         let slots = self.upstreams.of_generation(&run.upstream, run.generation);
         if let Some(slots) = slots {
@@ -115,7 +115,12 @@
     }
 
     /// Records the crash of an upstream that ran `suspects`, and reports it to all entries.
-    pub fn crashed(&mut self, now: Duration, upstream: &UpstreamName, suspects: Vec<ContentKey>) {
+    pub fn on_upstream_crash(
+        &mut self,
+        now: Duration,
+        upstream: &UpstreamName,
+        suspects: Vec<ContentKey>,
+    ) {
         if let Some(slots) = self.upstreams.get_mut(upstream) {
             slots.health.on_event(HealthEvent::Down, now);
         }
--- a/crates/router/src/sidecar/core.rs
+++ b/crates/router/src/sidecar/core.rs
@@ -31,7 +31,7 @@
     pub(super) upstreams: UpstreamTable,
     pub(super) waits: WaitTable,
     pub(super) pulls: PullTable,
-    pub(super) fair: FairLedger,
+    pub(super) ledger: FairLedger,
     pub(super) runs: Runs,
     pub(super) dispatched: DispatchLog,
     pub(super) crashes: CrashLog,
@@ -49,7 +49,7 @@
             upstreams: UpstreamTable::default(),
             waits: WaitTable::default(),
             pulls: PullTable::default(),
-            fair: FairLedger::new(cfg.policy, cfg.horizon),
+            ledger: FairLedger::new(cfg.policy, cfg.horizon),
             runs: Runs::default(),
             dispatched: DispatchLog::default(),
             crashes: CrashLog::new(cfg.host, cfg.incarnation),
@@ -72,22 +72,22 @@
 
     /// Service per account, by which the next account is chosen.
     #[must_use]
-    pub fn fair(&self) -> &FairLedger {
-        &self.fair
+    pub fn fair_ledger(&self) -> &FairLedger {
+        &self.ledger
     }
 
     /// Service per account, mutable, to set weights and to merge service on other hosts.
-    pub fn fair_mut(&mut self) -> &mut FairLedger {
-        &mut self.fair
+    pub fn fair_ledger_mut(&mut self) -> &mut FairLedger {
+        &mut self.ledger
     }
 
     /// Service per account, mutable, and the requests that wait at the entries.
-    pub fn fair_and_waits(&mut self) -> (&mut FairLedger, &WaitTable) {
-        (&mut self.fair, &self.waits)
+    pub fn fair_ledger_and_waits(&mut self) -> (&mut FairLedger, &WaitTable) {
+        (&mut self.ledger, &self.waits)
     }
 
     /// Starts to drain: the sidecar accepts no new work from now on.
-    pub fn leave(&mut self) {
+    pub fn start_drain(&mut self) {
         self.draining = true;
     }
 
@@ -105,8 +105,8 @@
 
     /// Content keys of the requests that an upstream runs.
     #[must_use]
-    pub fn keys_on(&self, upstream: &UpstreamName) -> Vec<ContentKey> {
-        self.runs.keys_on(upstream)
+    pub fn running_content_keys(&self, upstream: &UpstreamName) -> Vec<ContentKey> {
+        self.runs.content_keys_on(upstream)
     }
 
     /// Registers a newly connected entry: sends it the recent crashes, and the free slots with the
@@ -114,7 +114,7 @@
     ///
     /// Pulls over an earlier connection get no answer, and its loss may not have been detected yet.
     /// They are released here, so that their slots don't stay reserved while requests wait.
-    pub fn entry_up(&mut self, now: Duration, entry: HostName) {
+    pub fn on_entry_connected(&mut self, now: Duration, entry: HostName) {
         self.remove_waits(now, &entry);
         self.expire_pulls(now, Some(&entry));
         for report in self.crashes.recent(now) {
@@ -128,7 +128,7 @@
     }
 
     /// Removes an entry whose connection was lost, with its pulls and waiting requests.
-    pub fn entry_down(&mut self, now: Duration, entry: &HostName) {
+    pub fn on_entry_disconnected(&mut self, now: Duration, entry: &HostName) {
         self.entries.on_disconnected(entry);
         self.remove_waits(now, entry);
         self.expire_pulls(now, Some(entry));
@@ -158,7 +158,7 @@
     }
 
     /// Adds prefixes that an upstream of the pool has cached, to be reported to the entries.
-    pub fn learn_cached(&mut self, pool: &PoolName, prefixes: &[u64]) {
+    pub fn add_cached_prefixes(&mut self, pool: &PoolName, prefixes: &[u64]) {
         if !prefixes.is_empty() {
             self.entries.add_cached_prefixes(pool, prefixes);
         }
@@ -206,7 +206,7 @@
         }
         for change in changes {
             let (count, oldest) = self.waits.update(now, from, pool, change);
-            self.fair
+            self.ledger
                 .set_waiting(pool, &change.account, Waiting::new(count, oldest), now);
         }
     }
@@ -225,7 +225,7 @@
         } in remaining
         {
             let waiting = Waiting::new(count, oldest);
-            self.fair.set_waiting(&pool, &account, waiting, now);
+            self.ledger.set_waiting(&pool, &account, waiting, now);
         }
     }
 
--- a/crates/router/src/sidecar/entry_updates.rs
+++ b/crates/router/src/sidecar/entry_updates.rs
@@ -65,8 +65,8 @@
     /// changed its [`magnitude`], or prefixes were added. A message for every change dominates the
     /// control traffic.
     ///
-    /// `served` lists every served pool. `NotServed` is sent for reported pools that it lacks, so that
-    /// entries stop offering to their slots.
+    /// `served` lists every served pool. `NotServed` is sent for reported pools that it lacks, so
+    /// that entries stop offering to their slots.
     pub(super) fn updates(&mut self, served: &[Slots]) -> Vec<(HostName, FromSidecar)> {
         let mut updates = Vec::new();
         for (entry, state) in &mut self.entries {
--- a/crates/router/src/sidecar/mod.rs
+++ b/crates/router/src/sidecar/mod.rs
@@ -17,5 +17,5 @@
 pub use crash_log::CrashLog;
 pub use dispatch_log::DispatchLog;
 pub use pull_table::{PULL_TIMEOUT, PullTable, Reservation};
-pub use upstreams::{News, UpstreamSlots, UpstreamTable};
+pub use upstreams::{UpstreamSlots, UpstreamTable, UpstreamUpdate};
 pub use wait_table::{RemainingWait, WaitTable};
--- a/crates/router/src/sidecar/pulling.rs
+++ b/crates/router/src/sidecar/pulling.rs
@@ -23,7 +23,7 @@
         };
         let in_flight =
             |account: &AccountName, entry: &HostName| self.pulls.in_flight(pool, account, entry);
-        let choice = self.fair.ranked(pool).find_map(|account| {
+        let choice = self.ledger.ranked(pool).find_map(|account| {
             let entry = self
                 .waits
                 .entry_for(pool, account, |entry| in_flight(account, entry))?;
@@ -33,7 +33,7 @@
             return false;
         };
         let from_choice = self
-            .fair
+            .ledger
             .ranked(pool)
             .skip_while(|ranked| **ranked != account);
         let waiting_at_entry =
@@ -47,7 +47,7 @@
         self.waits.record_pull(pool, &account, &entry);
         let pool = pool.clone();
         let until = now + PULL_TIMEOUT;
-        let charge = self.fair.start(&account, None);
+        let charge = self.ledger.start(&account, None);
         let reservation = Reservation {
             entry: entry.clone(),
             account,
@@ -69,7 +69,7 @@
     }
 
     pub(super) fn unreserve(&mut self, reservation: Reservation) {
-        self.fair.abandon(reservation.charge);
+        self.ledger.abandon(reservation.charge);
         let (upstream, generation) = (&reservation.upstream, reservation.generation);
         if let Some(slots) = self.upstreams.of_generation(upstream, generation) {
             assert!(
--- a/crates/router/src/sidecar/runs.rs
+++ b/crates/router/src/sidecar/runs.rs
@@ -86,7 +86,7 @@
     }
 
     /// Content keys of the attempts that run on an upstream.
-    pub(super) fn keys_on(&self, upstream: &UpstreamName) -> Vec<ContentKey> {
+    pub(super) fn content_keys_on(&self, upstream: &UpstreamName) -> Vec<ContentKey> {
         let on_upstream = self.runs.values().filter(|run| run.upstream == *upstream);
         on_upstream.map(|run| run.key.clone()).collect()
     }
--- a/crates/router/src/sidecar/upstreams.rs
+++ b/crates/router/src/sidecar/upstreams.rs
@@ -10,7 +10,7 @@
 
 /// The part of an announcement that concerns an upstream's slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct News {
+pub struct UpstreamUpdate {
     /// When the announcement expires.
     pub live_until: Duration,
     /// Whether the upstream is leaving.
@@ -47,17 +47,17 @@
 }
 
 impl UpstreamSlots {
-    fn new(pool: PoolName, generation: u64, now: Duration, news: News) -> Self {
+    fn new(pool: PoolName, generation: u64, now: Duration, update: UpstreamUpdate) -> Self {
         Self {
             pool,
             generation,
-            window: ConcurrencyWindow::new(news.targets),
+            window: ConcurrencyWindow::new(update.targets),
             health: UpstreamHealth::new(now),
             version: VersionShift::new(1.0),
             isolation: ApartSlot::new(),
             reserved: 0,
-            live_until: news.live_until,
-            leaving: news.leaving,
+            live_until: update.live_until,
+            leaving: update.leaving,
         }
     }
 
@@ -73,7 +73,7 @@
 
     /// Starts the gradual rollout of another version that the upstream serves from now on, so that
     /// a bad version fails few requests before it is noticed.
-    pub fn change_version(&mut self, now: Duration) {
+    pub fn on_version_change(&mut self, now: Duration) {
         self.version = VersionShift::new(0.0);
         self.version.aim(1.0, now);
     }
@@ -85,21 +85,21 @@
         self.usable(now).saturating_sub(held)
     }
 
-    fn apply(&mut self, now: Duration, news: News) {
-        self.live_until = news.live_until;
-        if news.leaving && !self.leaving {
+    fn apply(&mut self, now: Duration, update: UpstreamUpdate) {
+        self.live_until = update.live_until;
+        if update.leaving && !self.leaving {
             self.health.on_event(HealthEvent::Leaving, now);
         }
-        if !news.leaving && self.leaving {
+        if !update.leaving && self.leaving {
             // Its caches may be cold, so its work returns at the ramp of an upstream that was down.
             self.health = UpstreamHealth::new(now);
             self.health.on_event(HealthEvent::Down, now);
         }
-        self.leaving = news.leaving;
+        self.leaving = update.leaving;
         self.health.on_event(HealthEvent::Alive, now);
         // The first announcement may arrive before the configuration that sets the targets.
-        self.window.aim_at(news.targets);
-        self.window.on_load_report(news.reported, news.queued);
+        self.window.aim_at(update.targets);
+        self.window.on_load_report(update.reported, update.queued);
     }
 }
 
@@ -116,13 +116,19 @@
     /// An upstream that changes its pool starts with new slots, since its window was fitted to
     /// other work. Its current runs belong to the previous generation of slots: counted on the new
     /// ones, their ends free slots that were never taken.
-    pub fn announce(&mut self, now: Duration, name: UpstreamName, pool: PoolName, news: News) {
+    pub fn apply_announcement(
+        &mut self,
+        now: Duration,
+        name: UpstreamName,
+        pool: PoolName,
+        update: UpstreamUpdate,
+    ) {
         let existing = self.upstreams.get_mut(&name);
         match existing {
-            Some(slots) if slots.pool == pool => slots.apply(now, news),
+            Some(slots) if slots.pool == pool => slots.apply(now, update),
             _ => {
                 self.generations += 1;
-                let slots = UpstreamSlots::new(pool, self.generations, now, news);
+                let slots = UpstreamSlots::new(pool, self.generations, now, update);
                 self.upstreams.insert(name, slots);
             }
         }
--- a/crates/router/tests/concurrency.rs
+++ b/crates/router/tests/concurrency.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use coltsfootnotch_router::{EntryAction, EntryCore, Waiting};
+use coltsfootnotch_router::{EntryAction, EntryCore, QueuedRequest};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{FromSidecar, ToSidecar};
 use googletest::prelude::*;
@@ -22,8 +22,8 @@
     HostName::new("s1").unwrap()
 }
 
-fn request(request: u64, of: &str) -> Waiting {
-    Waiting {
+fn request(request: u64, of: &str) -> QueuedRequest {
+    QueuedRequest {
         request,
         attempt: 0,
         account: account(of),
@@ -43,7 +43,7 @@
     let mut told = None;
     for action in core.take_actions(NOW) {
         match action {
-            EntryAction::Begin { waiting, .. } => begun.push(waiting.request),
+            EntryAction::OpenAttempt { waiting, .. } => begun.push(waiting.request),
             EntryAction::Send {
                 message: ToSidecar::Waits { changes, .. },
                 ..
@@ -67,7 +67,7 @@
     let domain = DomainName::new("jhb-north").unwrap();
     let mut core = EntryCore::new(Incarnation(1), domain.clone());
     core.set_running_limits(HashMap::from([(account("bistro"), 1)]));
-    core.sidecar_up(sidecar(), Incarnation(2), domain);
+    core.on_sidecar_connected(sidecar(), Incarnation(2), domain);
     let free = FromSidecar::Free {
         pool: pool(),
         slots: 8,
@@ -79,7 +79,7 @@
         core.submit(request(number, "bistro"));
     }
     expect_that!(outcome(&mut core), eq(&(vec![1], None)));
-    core.ended(&account("bistro"));
+    core.on_attempt_ended(&account("bistro"));
     expect_that!(outcome(&mut core), eq(&(vec![], Some(1))));
     let accounts = vec![account("bistro")];
     core.on_message(
--- a/crates/router/tests/late_binding/scenarios.rs
+++ b/crates/router/tests/late_binding/scenarios.rs
@@ -5,7 +5,7 @@
 use crate::sim::{Ended, Options, Sim, Source, bound};
 use coltsfootnotch_decide::fair::ChoicePolicy;
 use coltsfootnotch_decide::window::WindowTargets;
-use coltsfootnotch_router::{News, UpstreamTable};
+use coltsfootnotch_router::{UpstreamTable, UpstreamUpdate};
 use coltsfootnotch_types::{PoolName, UpstreamName, Weight};
 use googletest::prelude::*;
 
@@ -263,7 +263,7 @@
     let second = Duration::from_secs(1);
     let pool = PoolName::new("spec-llm").expect("a valid name");
     let name = UpstreamName::new("spec-llm-1").expect("a valid name");
-    let news = |now: Duration| News {
+    let news = |now: Duration| UpstreamUpdate {
         live_until: now + 3 * second,
         leaving: false,
         queued: 0,
@@ -271,7 +271,7 @@
         targets: WindowTargets::service(second),
     };
     let mut table = UpstreamTable::default();
-    table.announce(
+    table.apply_announcement(
         Duration::ZERO,
         name.clone(),
         pool.clone(),
@@ -279,10 +279,10 @@
     );
     let whole = table.free(Duration::ZERO, &pool);
     let slots = table.get_mut(&name).expect("it was announced");
-    slots.change_version(Duration::ZERO);
+    slots.on_version_change(Duration::ZERO);
     let free = (0..=100).map(|seconds| {
         let now = seconds * second;
-        table.announce(now, name.clone(), pool.clone(), news(now));
+        table.apply_announcement(now, name.clone(), pool.clone(), news(now));
         table.free(now, &pool)
     });
     let free: Vec<u32> = free.collect();
--- a/crates/router/tests/late_binding/sim/attempts.rs
+++ b/crates/router/tests/late_binding/sim/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfootnotch_router::{RunOutcome, Waiting};
+use coltsfootnotch_router::{QueuedRequest, RunOutcome};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, Begin, BeginCause, Call, CrashRef, NotStartedReason};
 use rand::Rng;
@@ -14,7 +14,7 @@
 const MAX_ATTEMPTS: u32 = 3;
 
 impl Sim {
-    pub(super) fn open(&mut self, e: usize, s: usize, begin: Box<Begin>, waiting: Waiting) {
+    pub(super) fn open(&mut self, e: usize, s: usize, begin: Box<Begin>, waiting: QueuedRequest) {
         let link = self.links[e][s].at_entry;
         let (run, number) = (self.entries[e].run, waiting.request);
         let request = self.entries[e].requests.get_mut(&number);
@@ -71,7 +71,7 @@
         let (now, attempt) = (self.now, begin.attempt);
         let from = self.entries[e].host.clone();
         self.traffic.opened += 1;
-        let mut outcome = self.sidecars[s].core.begin(now, &from, begin);
+        let mut outcome = self.sidecars[s].core.try_start(now, &from, begin);
         if outcome.is_ok() && self.rng.random_bool(self.options.unreachable) {
             let core = &mut self.sidecars[s].core;
             core.finish(now, attempt, ServiceUnits(0), RunOutcome::NotReached);
@@ -206,7 +206,7 @@
         let waiting = request.waiting.clone();
         self.sources[request.source].waiting += 1;
         if reason == Some(NotStartedReason::OtherSuspect) {
-            return self.entries[e].core.hold_back(now, waiting);
+            return self.entries[e].core.requeue_with_backoff(now, waiting);
         }
         self.entries[e].core.requeue(waiting);
     }
@@ -251,7 +251,7 @@
         attempt: AttemptId,
         sidecar: Incarnation,
         cause: BeginCause,
-        waiting: &Waiting,
+        waiting: &QueuedRequest,
     ) -> Box<Begin> {
         let suspect = self.entries[e]
             .requests
--- a/crates/router/tests/late_binding/sim/entry.rs
+++ b/crates/router/tests/late_binding/sim/entry.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use coltsfootnotch_router::{EntryCore, Waiting};
+use coltsfootnotch_router::{EntryCore, QueuedRequest};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::AttemptId;
 
@@ -22,7 +22,7 @@
 }
 
 pub(crate) struct Request {
-    pub(crate) waiting: Waiting,
+    pub(crate) waiting: QueuedRequest,
     pub(crate) source: usize,
     pub(crate) stage: Stage,
     pub(crate) suspect: bool,
--- a/crates/router/tests/late_binding/sim/events.rs
+++ b/crates/router/tests/late_binding/sim/events.rs
@@ -171,7 +171,7 @@
             }
             Event::First { s, run, attempt } => {
                 if self.sidecars[s].run == run {
-                    self.sidecars[s].core.first_piece(now, attempt);
+                    self.sidecars[s].core.on_first_chunk(now, attempt);
                 }
             }
             Event::Finish { s, run, attempt } => {
@@ -194,14 +194,18 @@
         let entry = self.entries[e].host.clone();
         let (host, run) = (self.sidecars[s].host.clone(), self.sidecars[s].run);
         if entry_first {
-            self.entries[e].core.sidecar_up(host, run, domain(s));
+            self.entries[e]
+                .core
+                .on_sidecar_connected(host, run, domain(s));
             self.run_entry(e);
-            self.sidecars[s].core.entry_up(now, entry);
+            self.sidecars[s].core.on_entry_connected(now, entry);
             self.run_sidecar(s);
         } else {
-            self.sidecars[s].core.entry_up(now, entry);
+            self.sidecars[s].core.on_entry_connected(now, entry);
             self.run_sidecar(s);
-            self.entries[e].core.sidecar_up(host, run, domain(s));
+            self.entries[e]
+                .core
+                .on_sidecar_connected(host, run, domain(s));
             self.run_entry(e);
         }
     }
@@ -211,14 +215,14 @@
         if at_entry && self.links[e][s].at_entry == link {
             self.links[e][s].at_entry = 0;
             let host = self.sidecars[s].host.clone();
-            self.entries[e].core.sidecar_down(&host);
+            self.entries[e].core.on_sidecar_disconnected(&host);
             self.lose_attempts(e, s);
             self.run_entry(e);
         }
         if !at_entry && self.links[e][s].at_sidecar == link {
             self.links[e][s].at_sidecar = 0;
             let host = self.entries[e].host.clone();
-            self.sidecars[s].core.entry_down(now, &host);
+            self.sidecars[s].core.on_entry_disconnected(now, &host);
             self.run_sidecar(s);
         }
     }
@@ -242,7 +246,7 @@
                         },
                     );
                 }
-                EntryAction::Begin {
+                EntryAction::OpenAttempt {
                     attempt,
                     to,
                     sidecar,
--- a/crates/router/tests/late_binding/sim/faults.rs
+++ b/crates/router/tests/late_binding/sim/faults.rs
@@ -101,8 +101,10 @@
             }
             10 => {
                 let name = self.sidecars[s].engine.name.clone();
-                let suspects = self.sidecars[s].core.keys_on(&name);
-                self.sidecars[s].core.crashed(now, &name, suspects);
+                let suspects = self.sidecars[s].core.running_content_keys(&name);
+                self.sidecars[s]
+                    .core
+                    .on_upstream_crash(now, &name, suspects);
             }
             _ => self.sidecars[s].relayed = !self.sidecars[s].relayed,
         }
--- a/crates/router/tests/late_binding/sim/mod.rs
+++ b/crates/router/tests/late_binding/sim/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_decide::fair::{ChoicePolicy, FairnessBound, FairnessMeter};
-use coltsfootnotch_router::{SidecarConfig, SidecarCore, Waiting};
+use coltsfootnotch_router::{QueuedRequest, SidecarConfig, SidecarCore};
 use coltsfootnotch_types::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -180,7 +180,8 @@
             horizon: bound(&self.options, &self.sources).horizon(),
         });
         for source in &self.sources {
-            core.fair_mut().set_weight(&source.account, source.weight);
+            core.fair_ledger_mut()
+                .set_weight(&source.account, source.weight);
         }
         let pool = self.pool(s);
         let (slots, rate) = (self.options.slots, self.options.rate);
@@ -231,7 +232,7 @@
         let booking = self.rng.random_bool(bookings);
         let suspect = self.rng.random_bool(suspects);
         let request = self.truth.submit(self.now, source, cost, booking);
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request,
             attempt: 0,
             account,
--- a/crates/router/tests/late_binding/sim/rounds.rs
+++ b/crates/router/tests/late_binding/sim/rounds.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_decide::window::WindowTargets;
-use coltsfootnotch_router::News;
+use coltsfootnotch_router::UpstreamUpdate;
 use coltsfootnotch_types::prelude::*;
 
 use super::Sim;
@@ -20,7 +20,7 @@
                 continue;
             }
             engine.announced = engine.pool.clone();
-            let news = News {
+            let news = UpstreamUpdate {
                 live_until: now + TTL,
                 leaving: engine.leaving.is_some(),
                 queued: engine.queue.len() as u32,
@@ -28,7 +28,7 @@
                 targets: WindowTargets::model(),
             };
             let upstreams = sidecar.core.upstreams_mut();
-            upstreams.announce(now, engine.name.clone(), engine.pool.clone(), news);
+            upstreams.apply_announcement(now, engine.name.clone(), engine.pool.clone(), news);
         }
     }
 
@@ -40,10 +40,10 @@
                 let own = own.get(account).copied().unwrap_or_default();
                 (account, ServiceUnits(total.0.saturating_sub(own.0)))
             });
-            sidecar.core.fair_mut().learn_elsewhere(elsewhere);
+            sidecar.core.fair_ledger_mut().learn_elsewhere(elsewhere);
         }
         for sidecar in self.sidecars.iter_mut().filter(|s| s.relayed) {
-            for (account, units) in sidecar.core.fair_mut().take_unsent() {
+            for (account, units) in sidecar.core.fair_ledger_mut().take_unsent() {
                 *self.totals.entry(account.clone()).or_default() += units;
                 *sidecar.told_relay.entry(account).or_default() += units;
             }
--- a/examples/embed_late_binding.rs
+++ b/examples/embed_late_binding.rs
@@ -10,7 +10,8 @@
 use coltsfootnotch_decide::fair::ChoicePolicy;
 use coltsfootnotch_decide::window::WindowTargets;
 use coltsfootnotch_router::{
-    EntryAction, EntryCore, News, RunOutcome, SidecarAction, SidecarConfig, SidecarCore, Waiting,
+    EntryAction, EntryCore, QueuedRequest, RunOutcome, SidecarAction, SidecarConfig, SidecarCore,
+    UpstreamUpdate,
 };
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, Begin, BeginCause, Call};
@@ -74,8 +75,8 @@
     for announcement in 0..=ANNOUNCEMENTS {
         announce(&mut sidecar, ANNOUNCED_EVERY * announcement)?;
     }
-    sidecar.entry_up(Duration::ZERO, entry_host.clone());
-    entry.sidecar_up(sidecar_host, sidecar_run, domain);
+    sidecar.on_entry_connected(Duration::ZERO, entry_host.clone());
+    entry.on_sidecar_connected(sidecar_host, sidecar_run, domain);
     Ok(Pair {
         entry,
         sidecar,
@@ -86,7 +87,7 @@
 }
 
 fn announce(sidecar: &mut SidecarCore, now: Duration) -> Result<(), Box<dyn Error>> {
-    let news = News {
+    let update = UpstreamUpdate {
         live_until: now + LONG,
         leaving: false,
         queued: 0,
@@ -94,12 +95,14 @@
         targets: WindowTargets::model(),
     };
     let (upstream, pool) = (UpstreamName::new("spec-llm-1")?, PoolName::new("spec-llm")?);
-    sidecar.upstreams_mut().announce(now, upstream, pool, news);
+    sidecar
+        .upstreams_mut()
+        .apply_announcement(now, upstream, pool, update);
     Ok(())
 }
 
-fn waiting(request: u64, account: &str) -> Result<Waiting, Box<dyn Error>> {
-    Ok(Waiting {
+fn waiting(request: u64, account: &str) -> Result<QueuedRequest, Box<dyn Error>> {
+    Ok(QueuedRequest {
         request,
         attempt: 0,
         account: AccountName::new(account)?,
@@ -147,7 +150,7 @@
             EntryAction::Send { message, .. } => {
                 self.sidecar.on_message(now, &self.entry_host, message);
             }
-            EntryAction::Begin {
+            EntryAction::OpenAttempt {
                 attempt,
                 sidecar,
                 cause,
@@ -155,10 +158,10 @@
                 ..
             } => {
                 let begin = begin(attempt, sidecar, cause, &waiting);
-                match self.sidecar.begin(now, &self.entry_host, &begin) {
+                match self.sidecar.try_start(now, &self.entry_host, &begin) {
                     Ok(_upstream) => {
                         // The upstream answers at once: without a first piece its window shrinks.
-                        self.sidecar.first_piece(now, attempt);
+                        self.sidecar.on_first_chunk(now, attempt);
                         self.started.push(waiting.account);
                         self.running.push_back((now + RUN, attempt));
                     }
@@ -170,7 +173,12 @@
     }
 }
 
-fn begin(attempt: AttemptId, sidecar: Incarnation, cause: BeginCause, waiting: &Waiting) -> Begin {
+fn begin(
+    attempt: AttemptId,
+    sidecar: Incarnation,
+    cause: BeginCause,
+    waiting: &QueuedRequest,
+) -> Begin {
     let call = Call {
         method: "POST".to_owned(),
         path: "/v1/chat/completions".to_owned(),
--- a/src/coltsfootnotch/daemon/entry/actor.rs
+++ b/src/coltsfootnotch/daemon/entry/actor.rs
@@ -12,7 +12,7 @@
 use coltsfootnotch_decide::retry::RetryBudget;
 use coltsfootnotch_fabric::{Endpoint, Event};
 use coltsfootnotch_manifest::ConfigIndex;
-use coltsfootnotch_router::{EntryAction, EntryCore, Waiting};
+use coltsfootnotch_router::{EntryAction, EntryCore, QueuedRequest};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, FromSidecar, HostRecord, Message};
 use stakker::sync::{Channel, ChannelGuard};
@@ -168,7 +168,7 @@
             EntryMsg::AttemptEnded { attempt, end } => self.on_attempt_end(attempt, end),
             EntryMsg::Reread { request, answer } => self.on_reread(request, answer),
             EntryMsg::Look(answer) => {
-                let (sidecars, pools) = self.core.served();
+                let (sidecars, pools) = self.core.connection_summary();
                 // Whoever asked may have given up.
                 let _asker = answer.send(Seen { sidecars, pools });
             }
@@ -209,7 +209,7 @@
         for action in self.core.take_actions(now) {
             match action {
                 EntryAction::Send { to, message } => self.sidecars.send(&to, message),
-                EntryAction::Begin {
+                EntryAction::OpenAttempt {
                     attempt,
                     to,
                     sidecar,
@@ -231,7 +231,7 @@
         }
     }
 
-    fn on_expired(&mut self, waiting: &Waiting) {
+    fn on_expired(&mut self, waiting: &QueuedRequest) {
         self.admission.on_left(&waiting.pool, &waiting.account);
         let Some(in_progress) = self.requests.get(waiting.request) else {
             return;
@@ -279,7 +279,8 @@
                 tx,
             } => {
                 if let Some(domain) = self.sidecars.up(link, &peer.host, incarnation, tx) {
-                    self.core.sidecar_up(peer.host, incarnation, domain);
+                    self.core
+                        .on_sidecar_connected(peer.host, incarnation, domain);
                 }
             }
             Event::Message {
@@ -308,7 +309,7 @@
                 self.cx.log(&events::LINK_DOWN, &[("peer", &peer)]);
                 self.relay.down(link, now);
                 if let Some(host) = self.sidecars.down(link) {
-                    self.core.sidecar_down(&host);
+                    self.core.on_sidecar_disconnected(&host);
                 }
             }
         }
--- a/src/coltsfootnotch/daemon/entry/admission.rs
+++ b/src/coltsfootnotch/daemon/entry/admission.rs
@@ -32,7 +32,7 @@
         if let Verdict::Refused { retry_after } = self.suspects.verdict(now, arrival) {
             return Some(Refusal::not_run(RefusalKind::Crashing).retry_after(retry_after));
         }
-        if !self.core.serves(&arrival.pool) {
+        if !self.core.has_sidecar_for(&arrival.pool) {
             return Some(Refusal::not_run(RefusalKind::NoUpstream).retry_after(RETRY_LATER));
         }
         self.queue_refusal(now, arrival)
--- a/src/coltsfootnotch/daemon/entry/arrivals.rs
+++ b/src/coltsfootnotch/daemon/entry/arrivals.rs
@@ -1,7 +1,7 @@
 //! Requests come in, are queued, withdrawn, and refused.
 
 use coltsfootnotch_chart::RequestEvent;
-use coltsfootnotch_router::Waiting;
+use coltsfootnotch_router::QueuedRequest;
 use coltsfootnotch_wire::{Run, ToSidecar};
 use tokio::runtime::Handle;
 use tokio::sync::mpsc::error::TrySendError;
@@ -25,7 +25,7 @@
 
     /// Queues a request.
     pub(super) fn let_in(&mut self, arrival: Arrival) {
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request: arrival.request,
             attempt: 0,
             account: arrival.account.clone(),
@@ -44,18 +44,18 @@
     }
 
     /// Queues a request again whose attempt was not started, or is made again.
-    pub(super) fn wait_again(&mut self, request: u64, waiting: Waiting) {
+    pub(super) fn wait_again(&mut self, request: u64, waiting: QueuedRequest) {
         self.note_queued(request, &waiting);
         self.core.requeue(waiting);
     }
 
     /// A suspect of crashes waits for a while before it is tried again: another suspect runs.
-    pub(super) fn hold_back(&mut self, request: u64, waiting: Waiting) {
+    pub(super) fn hold_back(&mut self, request: u64, waiting: QueuedRequest) {
         self.note_queued(request, &waiting);
-        self.core.hold_back(self.cx.now(), waiting);
+        self.core.requeue_with_backoff(self.cx.now(), waiting);
     }
 
-    fn note_queued(&mut self, request: u64, waiting: &Waiting) {
+    fn note_queued(&mut self, request: u64, waiting: &QueuedRequest) {
         let now = self.cx.now();
         self.admission
             .on_queued(&waiting.pool, &waiting.account, now);
@@ -74,7 +74,7 @@
             _ if arrival.booking.is_some() => return,
             Stage::Running { chosen, task } => {
                 task.abort();
-                self.core.ended(&arrival.account);
+                self.core.on_attempt_ended(&arrival.account);
                 let attempt = chosen.attempt;
                 let cancel = ToSidecar::Cancel { attempt };
                 self.sidecars.send(&chosen.host, cancel);
--- a/src/coltsfootnotch/daemon/entry/outcomes.rs
+++ b/src/coltsfootnotch/daemon/entry/outcomes.rs
@@ -50,7 +50,7 @@
 
     /// The slot that was chosen is not used after all.
     pub(super) fn give_back(&mut self, chosen: &Chosen) {
-        self.core.ended(&chosen.waiting.account);
+        self.core.on_attempt_ended(&chosen.waiting.account);
         if let BeginCause::Pull { pull } = chosen.cause {
             self.sidecars
                 .send(&chosen.host, ToSidecar::Nothing { pull });
@@ -69,7 +69,7 @@
             return;
         };
         let Some(link) = self.sidecars.watch(&chosen.host) else {
-            self.core.ended(&chosen.waiting.account);
+            self.core.on_attempt_ended(&chosen.waiting.account);
             return self.after_not_started(chosen, &AttemptEnd::NotSent);
         };
         let arrival = &in_progress.arrival;
@@ -126,7 +126,7 @@
         let Some(chosen) = self.requests.running(attempt).cloned() else {
             return;
         };
-        self.core.ended(&chosen.waiting.account);
+        self.core.on_attempt_ended(&chosen.waiting.account);
         match end {
             AttemptEnd::NotSent | AttemptEnd::NotStarted(_) => self.after_not_started(chosen, &end),
             AttemptEnd::Done {
--- a/src/coltsfootnotch/daemon/entry/requests.rs
+++ b/src/coltsfootnotch/daemon/entry/requests.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use coltsfootnotch_chart::{Chart, Machine, RequestEvent, RequestState};
-use coltsfootnotch_router::Waiting;
+use coltsfootnotch_router::QueuedRequest;
 use coltsfootnotch_state::ProcessId;
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, BeginCause, Run};
@@ -20,7 +20,7 @@
     pub(super) host: HostName,
     pub(super) sidecar: Incarnation,
     pub(super) cause: BeginCause,
-    pub(super) waiting: Waiting,
+    pub(super) waiting: QueuedRequest,
 }
 
 /// What a request waits for, with what is needed to go on.
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Settling {
     /// The request's own place, to wait again when the earlier attempt did not run.
-    pub(super) waiting: Waiting,
+    pub(super) waiting: QueuedRequest,
     pub(super) earlier: AttemptId,
     pub(super) sidecar: ProcessId,
     pub(super) until: std::time::Duration,
--- a/src/coltsfootnotch/daemon/sidecar/actor.rs
+++ b/src/coltsfootnotch/daemon/sidecar/actor.rs
@@ -260,7 +260,7 @@
             }
             Event::Up { link, peer, tx, .. } if peer.role == Role::Entry => {
                 self.entries.insert(peer.host.clone(), (link, tx));
-                self.core.entry_up(now, peer.host);
+                self.core.on_entry_connected(now, peer.host);
             }
             Event::Message {
                 link,
@@ -297,7 +297,7 @@
                     .is_some_and(|(current, _)| *current == link)
                 {
                     self.entries.remove(&peer.host);
-                    self.core.entry_down(now, &peer.host);
+                    self.core.on_entry_disconnected(now, &peer.host);
                 }
             }
         }
@@ -309,13 +309,13 @@
                 self.life.config_in_force();
                 for account in &update.0.manifest().accounts {
                     self.core
-                        .fair_mut()
+                        .fair_ledger_mut()
                         .set_weight(&account.name, account.weight);
                 }
             }
             RelayNews::Totals(totals) => {
                 let totals = totals.iter().map(|(account, total)| (account, *total));
-                self.core.fair_mut().learn_elsewhere(totals);
+                self.core.fair_ledger_mut().learn_elsewhere(totals);
             }
             RelayNews::ServiceApplied(seq) => self.reports.acknowledged(seq),
             RelayNews::Proposed { id, reply } => self.orders.answered(self.cx.now(), id, &reply),
@@ -327,7 +327,7 @@
         if !self.life.ask_stop(self.core.running()) {
             return;
         }
-        self.core.leave();
+        self.core.start_drain();
         let now = self.cx.now();
         self.orders.stop(now);
         self.give_orders(now);
--- a/src/coltsfootnotch/daemon/sidecar/announced.rs
+++ b/src/coltsfootnotch/daemon/sidecar/announced.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_decide::window::WindowTargets;
-use coltsfootnotch_router::News;
+use coltsfootnotch_router::UpstreamUpdate;
 use coltsfootnotch_state::ProcessId;
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::announce::Announcement;
@@ -40,9 +40,9 @@
             Announced::Same => {}
         }
         let cached = self.upstreams.cached(announcement);
-        self.core.learn_cached(&announcement.pool, &cached);
+        self.core.add_cached_prefixes(&announcement.pool, &cached);
         self.orders.announced(now, announcement);
-        let news = News {
+        let update = UpstreamUpdate {
             live_until: now + announcement.ttl,
             leaving: announcement.leaving || !self.serves_pool(announcement),
             queued: announcement.load.waiting,
@@ -52,7 +52,7 @@
         let pool = announcement.pool.clone();
         self.core
             .upstreams_mut()
-            .announce(now, name.clone(), pool, news);
+            .apply_announcement(now, name.clone(), pool, update);
     }
 
     /// What the windows of a pool aim at.
@@ -108,7 +108,7 @@
             let slots = self.core.upstreams_mut().get_mut(upstream);
             slots
                 .into_iter()
-                .for_each(|slots| slots.change_version(now));
+                .for_each(|slots| slots.on_version_change(now));
         }
         let event = match end {
             OrderEnd::Done => &events::ORDER_DONE,
--- a/src/coltsfootnotch/daemon/sidecar/attempts.rs
+++ b/src/coltsfootnotch/daemon/sidecar/attempts.rs
@@ -33,7 +33,7 @@
             return self.resume(begin.attempt, from, stream);
         }
         let now = self.cx.now();
-        match self.core.begin(now, &peer.host, &begin) {
+        match self.core.try_start(now, &peer.host, &begin) {
             Ok(upstream) => self.run_attempt(begin, &upstream, stream),
             Err(reason) => self.not_started(begin.attempt, reason, stream),
         }
@@ -134,7 +134,7 @@
         if let Some(upstream) = self.core.upstream_of(attempt) {
             self.upstreams.fire(upstream, UpstreamEvent::ProbeSucceeded);
         }
-        self.core.first_piece(self.cx.now(), attempt);
+        self.core.on_first_chunk(self.cx.now(), attempt);
     }
 
     /// An attempt has ended at the upstream; its slot is free.
@@ -178,7 +178,7 @@
         if !self.probing.insert(upstream.clone()) {
             return;
         }
-        let suspects = self.core.keys_on(upstream);
+        let suspects = self.core.running_content_keys(upstream);
         let (tx, upstream) = (self.tx.clone(), upstream.clone());
         self.cx.runtime.spawn(async move {
             let connected = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
@@ -206,7 +206,8 @@
                 &[("upstream", upstream), ("in_flight", &count)],
             );
             self.unreachable(upstream, UpstreamEvent::Crashed);
-            self.core.crashed(self.cx.now(), upstream, suspects);
+            self.core
+                .on_upstream_crash(self.cx.now(), upstream, suspects);
         }
     }
 
@@ -231,7 +232,7 @@
 
     /// Tells the relay what service was given, and whose totals are wanted.
     pub(super) fn report_service(&mut self, now: Duration) {
-        let (fair, waits) = self.core.fair_and_waits();
+        let (fair, waits) = self.core.fair_ledger_and_waits();
         if let Some(batch) = self.reports.due(now, fair, || waits.all_accounts()) {
             self.relay.send(ToRelay::Service(batch));
         }
