--- a/crates/router/examples/control_traffic.rs
+++ b/crates/router/examples/control_traffic.rs
@@ -2,22 +2,22 @@
 //!
 //! `cargo run --release -p coltsfootnotch-router --example control_traffic`
 
-// The harness of the tests; what only the tests use of it stands unused here.
+// The simulation of the tests; parts of it are used by the tests alone.
 #[allow(dead_code)]
 #[path = "../tests/late_binding/sim/mod.rs"]
 mod sim;
 
 use std::time::Duration;
 
-use sim::{Ended, Options, Sim, Source};
+use sim::{Options, Outcome, Sim, Source};
 
 const WARM_UP: Duration = Duration::from_secs(30);
 const MEASURED: Duration = Duration::from_secs(10);
-/// Requests that a backlogged account keeps waiting.
+/// Number of requests that a backlogged account keeps waiting.
 const BACKLOG: usize = 10;
-/// Requests a second of an account that is not backlogged.
+/// Requests per second of an account that is not backlogged.
 const LIGHT_RATE: f64 = 0.1;
-/// Light accounts for one that is backlogged.
+/// Number of light accounts per backlogged account.
 const LIGHT: usize = 9;
 
 struct Size {
@@ -33,7 +33,7 @@
         let first = i * 7;
         let reach = 1 + i % 4;
         source.entries = (first..first + reach).map(|e| e % size.entries).collect();
-        source.patience = Duration::from_secs(600);
+        source.timeout = Duration::from_secs(600);
         source.cost = (100, 300);
         if i < size.backlogged {
             source.backlog = BACKLOG;
@@ -59,11 +59,11 @@
     let mut sim = Sim::new(options, sources(size));
     sim.run(WARM_UP);
     sim.traffic.measuring = true;
-    let done = sim.truth.count(Ended::Done);
+    let done = sim.log.count(Outcome::Done);
     let opened = sim.traffic.opened;
     sim.take_utilisation(WARM_UP);
     sim.run(MEASURED);
-    let done = sim.truth.count(Ended::Done) - done;
+    let done = sim.log.count(Outcome::Done) - done;
     let used = sim.take_utilisation(MEASURED);
     let t = sim.traffic.clone();
     let of = |(messages, bytes): (u64, u64)| {
--- a/crates/router/examples/where_work_waits/plain.rs
+++ b/crates/router/examples/where_work_waits/baseline.rs
@@ -1,6 +1,6 @@
-//! The alternatives as plain policies: queues at the sidecars, and one dispenser for all.
+//! Baselines for the comparison: queues at the sidecars, and one central dispatcher.
 //!
-//! Both are told how many slots each upstream has, which late binding must find out.
+//! Both know the number of slots of each upstream, which late binding has to estimate.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -10,24 +10,25 @@
 use coltsfootnotch_types::prelude::*;
 
 use super::queue::{Host, Queue};
-use super::sim::{Source, Truth};
+use super::sim::{RequestLog, Source};
 use super::{ENTRIES, RATE, SIDECARS, SLOTS};
 
 const TICK: Duration = Duration::from_millis(20);
-/// Ticks between two load reports of a sidecar to each entry, and between two rounds of service.
+/// Ticks between two load reports of a sidecar to each entry.
 const REPORT_EVERY: u64 = 5;
+/// Ticks between two exchanges of service totals.
 const RELAY_EVERY: u64 = 10;
-/// One way between two hosts, in the mean.
-const HOP: Duration = Duration::from_micros(1_750);
+/// Mean delay between two hosts.
+const ONE_WAY_DELAY: Duration = Duration::from_micros(1_750);
 const PREFILL: Duration = Duration::from_millis(50);
 
 /// Where requests wait.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Place {
-    /// At the sidecar that was the least loaded on their arrival.
+pub(crate) enum QueueLocation {
+    /// At the sidecar with the least load on arrival.
     Sidecars,
-    /// At one dispenser, which knows all slots and all service.
-    Dispenser,
+    /// At one central dispatcher, which knows all slots and all service.
+    Dispatcher,
 }
 
 #[derive(Clone, Copy)]
@@ -40,37 +41,37 @@
     Freed { s: usize },
 }
 
-pub(crate) struct Plain {
-    place: Place,
+pub(crate) struct Baseline {
+    location: QueueLocation,
     now: Duration,
     sources: Vec<Source>,
-    pub(crate) truth: Truth,
+    pub(crate) log: RequestLog,
     pub(crate) meter: FairnessMeter,
     pub(crate) messages: u64,
     pub(crate) started: u64,
     hosts: Vec<Host>,
-    /// Load of each sidecar as each entry knows it.
+    /// Load of each sidecar as last reported to each entry.
     views: Vec<Vec<usize>>,
     queues: Vec<Queue>,
     charges: HashMap<u64, (usize, RunCharge)>,
     totals: BTreeMap<AccountName, ServiceUnits>,
     events: BTreeMap<(Duration, u64), Event>,
-    numbers: u64,
+    last_number: u64,
     pool: PoolName,
 }
 
-impl Plain {
-    pub(crate) fn new(place: Place, policy: ChoicePolicy, sources: Vec<Source>) -> Self {
-        let queues = if place == Place::Sidecars {
+impl Baseline {
+    pub(crate) fn new(location: QueueLocation, policy: ChoicePolicy, sources: Vec<Source>) -> Self {
+        let queues = if location == QueueLocation::Sidecars {
             SIDECARS
         } else {
             1
         };
         let queue = |_| Queue::new(policy, &sources);
-        let mut plain = Self {
-            place,
+        let mut baseline = Self {
+            location,
             now: Duration::ZERO,
-            truth: Truth::default(),
+            log: RequestLog::default(),
             meter: FairnessMeter::new(),
             messages: 0,
             started: 0,
@@ -80,16 +81,16 @@
             charges: HashMap::new(),
             totals: BTreeMap::new(),
             events: BTreeMap::new(),
-            numbers: 0,
+            last_number: 0,
             pool: PoolName::new("pool").expect("a valid name"),
             sources,
         };
-        plain.at(Duration::ZERO, Event::Tick(0));
-        for source in 0..plain.sources.len() {
-            plain.sources[source].seed(1, source);
-            plain.schedule_arrival(source);
+        baseline.schedule(Duration::ZERO, Event::Tick(0));
+        for source in 0..baseline.sources.len() {
+            baseline.sources[source].seed(1, source);
+            baseline.schedule_arrival(source);
         }
-        plain
+        baseline
     }
 
     pub(crate) fn run(&mut self, until: Duration) {
@@ -104,7 +105,7 @@
         self.now = until;
     }
 
-    pub(crate) fn restart_measures(&mut self) {
+    pub(crate) fn reset_measurements(&mut self) {
         self.meter = FairnessMeter::new();
         self.messages = 0;
         self.started = 0;
@@ -114,16 +115,16 @@
         }
     }
 
-    /// Share of the slots that was used in the time measured.
-    pub(crate) fn used(&mut self, time: Duration) -> f64 {
+    /// Share of the slots in use over the measured `time`.
+    pub(crate) fn utilisation(&mut self, time: Duration) -> f64 {
         (0..SIDECARS).for_each(|s| self.count_busy(s));
         let busy: Duration = self.hosts.iter().map(|host| host.busy).sum();
         busy.as_secs_f64() / time.as_secs_f64() / (SIDECARS * SLOTS) as f64
     }
 
-    fn at(&mut self, time: Duration, event: Event) {
-        self.numbers += 1;
-        self.events.insert((time, self.numbers), event);
+    fn schedule(&mut self, time: Duration, event: Event) {
+        self.last_number += 1;
+        self.events.insert((time, self.last_number), event);
     }
 
     fn handle(&mut self, event: Event) {
@@ -137,34 +138,38 @@
                 let account = self.account_of(job);
                 let waiting = &mut self.queues[queue].waiting;
                 waiting.entry(account.clone()).or_default().push_back(job);
-                self.tell_queue(queue, &account);
-                self.dispense(queue);
+                self.update_queue(queue, &account);
+                self.fill_slots(queue);
             }
             Event::Start { s, job } => self.start(s, job),
             Event::Finish { s, job } => self.finish(s, job),
             Event::Freed { s } => {
                 self.hosts[s].free += 1;
-                self.dispense(if self.place == Place::Sidecars { s } else { 0 });
+                self.fill_slots(if self.location == QueueLocation::Sidecars {
+                    s
+                } else {
+                    0
+                });
             }
         }
     }
 
     fn schedule_arrival(&mut self, source: usize) {
         if let Some(gap) = self.sources[source].draw_gap() {
-            self.at(self.now + gap, Event::Arrive(source));
+            self.schedule(self.now + gap, Event::Arrive(source));
         }
     }
 
     fn submit(&mut self, source: usize) {
-        let of = &mut self.sources[source];
-        let e = of.entries[of.sent % of.entries.len()];
-        of.sent += 1;
-        of.waiting += 1;
-        let cost = of.draw_cost();
-        let job = self.truth.submit(self.now, source, cost, false);
-        let queue = match self.place {
-            Place::Dispenser => 0,
-            Place::Sidecars => {
+        let sender = &mut self.sources[source];
+        let e = sender.entries[sender.sent % sender.entries.len()];
+        sender.sent += 1;
+        sender.waiting += 1;
+        let cost = sender.draw_cost();
+        let job = self.log.submit(self.now, source, cost, false);
+        let queue = match self.location {
+            QueueLocation::Dispatcher => 0,
+            QueueLocation::Sidecars => {
                 let view = &mut self.views[e];
                 let least = (0..SIDECARS)
                     .min_by_key(|s| view[*s])
@@ -174,17 +179,17 @@
                 least
             }
         };
-        // The dispenser is told of the request; at a sidecar the request itself arrives.
-        self.messages += u64::from(self.place == Place::Dispenser);
-        self.at(self.now + HOP, Event::Queued { queue, job });
+        // The dispatcher gets a message for the request; a sidecar gets the request itself.
+        self.messages += u64::from(self.location == QueueLocation::Dispatcher);
+        self.schedule(self.now + ONE_WAY_DELAY, Event::Queued { queue, job });
     }
 
-    /// Fills the free slots that a queue is for.
-    fn dispense(&mut self, queue: usize) {
+    /// Starts requests of a queue while its hosts have free slots.
+    fn fill_slots(&mut self, queue: usize) {
         loop {
-            let free = match self.place {
-                Place::Sidecars => (self.hosts[queue].free > 0).then_some(queue),
-                Place::Dispenser => {
+            let free = match self.location {
+                QueueLocation::Sidecars => (self.hosts[queue].free > 0).then_some(queue),
+                QueueLocation::Dispatcher => {
                     let freest = (0..SIDECARS).max_by_key(|s| self.hosts[*s].free);
                     freest.filter(|s| self.hosts[*s].free > 0)
                 }
@@ -195,16 +200,20 @@
             };
             let waiting = self.queues[queue].waiting.get_mut(&account);
             let job = waiting.and_then(VecDeque::pop_front);
-            let job = job.expect("the chosen account waits");
-            let cost = ServiceUnits(self.truth.records[job as usize].cost);
+            let job = job.expect("the chosen account has a waiting request");
+            let cost = ServiceUnits(self.log.records[job as usize].cost);
             let charge = self.queues[queue].ledger.start(&account, Some(cost));
             self.charges.insert(job, (queue, charge));
-            self.tell_queue(queue, &account);
+            self.update_queue(queue, &account);
             self.hosts[s].free -= 1;
-            // The dispenser tells the entry, which sends the request on; a sidecar has it.
-            let hops = if self.place == Place::Dispenser { 2 } else { 0 };
-            self.messages += u64::from(self.place == Place::Dispenser);
-            self.at(self.now + HOP * hops, Event::Start { s, job });
+            // The dispatcher notifies the entry, which sends the request; a sidecar already has it.
+            let hops = if self.location == QueueLocation::Dispatcher {
+                2
+            } else {
+                0
+            };
+            self.messages += u64::from(self.location == QueueLocation::Dispatcher);
+            self.schedule(self.now + ONE_WAY_DELAY * hops, Event::Start { s, job });
         }
     }
 
@@ -213,18 +222,18 @@
         self.hosts[s].running += 1;
         self.hosts[s].queued = self.hosts[s].queued.saturating_sub(1);
         self.started += 1;
-        let record = &mut self.truth.records[job as usize];
+        let record = &mut self.log.records[job as usize];
         record.first_start = Some(self.now);
         self.sources[record.source].waiting -= 1;
         let rate = if s == 0 { RATE / 2 } else { RATE };
-        let takes = PREFILL + Duration::from_millis(record.cost * 1000 / rate);
-        self.at(self.now + takes, Event::Finish { s, job });
+        let duration = PREFILL + Duration::from_millis(record.cost * 1000 / rate);
+        self.schedule(self.now + duration, Event::Finish { s, job });
     }
 
     fn finish(&mut self, s: usize, job: u64) {
         self.count_busy(s);
         self.hosts[s].running -= 1;
-        let record = &self.truth.records[job as usize];
+        let record = &self.log.records[job as usize];
         let (source, cost) = (&self.sources[record.source], ServiceUnits(record.cost));
         self.meter.serve(&source.account, source.weight, cost);
         if let Some((queue, mut charge)) = self.charges.remove(&job) {
@@ -232,13 +241,17 @@
             ledger.stream(&mut charge, cost);
             ledger.settle(charge);
         }
-        let hops = if self.place == Place::Dispenser { 1 } else { 0 };
-        self.messages += u64::from(self.place == Place::Dispenser);
-        self.at(self.now + HOP * hops, Event::Freed { s });
+        let hops = if self.location == QueueLocation::Dispatcher {
+            1
+        } else {
+            0
+        };
+        self.messages += u64::from(self.location == QueueLocation::Dispatcher);
+        self.schedule(self.now + ONE_WAY_DELAY * hops, Event::Freed { s });
     }
 
     fn tick(&mut self, count: u64) {
-        self.at(self.now + TICK, Event::Tick(count + 1));
+        self.schedule(self.now + TICK, Event::Tick(count + 1));
         for source in 0..self.sources.len() {
             for _ in self.sources[source].waiting..self.sources[source].backlog {
                 self.submit(source);
@@ -247,7 +260,7 @@
             self.meter
                 .set_backlogged(&source.account, source.weight, source.waiting > 0);
         }
-        if self.place == Place::Sidecars && count.is_multiple_of(REPORT_EVERY) {
+        if self.location == QueueLocation::Sidecars && count.is_multiple_of(REPORT_EVERY) {
             let load = |host: &Host| host.running + host.queued;
             let loads: Vec<usize> = self.hosts.iter().map(load).collect();
             self.views = vec![loads; ENTRIES];
@@ -263,17 +276,19 @@
         self.queues
             .iter_mut()
             .for_each(|queue| queue.report(totals));
-        self.queues.iter_mut().for_each(|queue| queue.learn(totals));
+        self.queues
+            .iter_mut()
+            .for_each(|queue| queue.merge_totals(totals));
     }
 
-    fn tell_queue(&mut self, queue: usize, account: &AccountName) {
-        let records = &self.truth.records;
+    fn update_queue(&mut self, queue: usize, account: &AccountName) {
+        let records = &self.log.records;
         let arrived = |job: u64| records[job as usize].arrived;
-        self.queues[queue].tell(self.now, &self.pool, account, arrived);
+        self.queues[queue].update_waiting(self.now, &self.pool, account, arrived);
     }
 
     fn account_of(&self, job: u64) -> AccountName {
-        let source = self.truth.records[job as usize].source;
+        let source = self.log.records[job as usize].source;
         self.sources[source].account.clone()
     }
 
--- a/crates/router/examples/where_work_waits/main.rs
+++ b/crates/router/examples/where_work_waits/main.rs
@@ -1,10 +1,10 @@
-//! Measures where requests should wait: late binding against two plain alternatives.
+//! Compares late binding with queues at the sidecars and with a central dispatcher.
 //!
 //! `cargo run --release -p coltsfootnotch-router --example where_work_waits`
 
-mod plain;
+mod baseline;
 mod queue;
-// The harness of the tests; what only the tests use of it stands unused here.
+// The simulation of the tests; parts of it are used by the tests alone.
 #[allow(dead_code)]
 #[path = "../../tests/late_binding/sim/mod.rs"]
 mod sim;
@@ -14,8 +14,8 @@
 use coltsfootnotch_decide::fair::{ChoicePolicy, FairnessMeter};
 use coltsfootnotch_types::Weight;
 
-use plain::{Place, Plain};
-use sim::{Options, Sim, Source, Truth};
+use baseline::{Baseline, QueueLocation};
+use sim::{Options, RequestLog, Sim, Source};
 
 const WARM_UP: Duration = Duration::from_secs(60);
 const MEASURED: Duration = Duration::from_secs(300);
@@ -24,13 +24,13 @@
 const SLOTS: usize = 8;
 const RATE: u64 = 100;
 
-/// Two large accounts, four of middle size and ten small ones, at entries of their own.
+/// Two large, four medium and ten small accounts, spread over the entries.
 fn sources(saturated: bool) -> Vec<Source> {
     let mut sources = Vec::new();
     for i in 0..16 {
         let mut source = Source::new(&format!("account-{i}"));
         source.entries = vec![i % ENTRIES];
-        source.patience = Duration::from_secs(3600);
+        source.timeout = Duration::from_secs(3600);
         match i {
             0..2 => {
                 source.weight = Weight::new(4).expect("a valid weight");
@@ -54,22 +54,22 @@
     sources
 }
 
-fn percentiles(truth: &Truth, which: std::ops::Range<usize>) -> String {
-    let waits = which.flat_map(|source| truth.waits(source, WARM_UP));
+fn percentiles(log: &RequestLog, which: std::ops::Range<usize>) -> String {
+    let waits = which.flat_map(|source| log.waits(source, WARM_UP));
     let mut waits: Vec<u64> = waits.collect();
     waits.sort_unstable();
-    assert!(!waits.is_empty(), "nobody was served");
+    assert!(!waits.is_empty(), "no request was served");
     let at = |part: usize| waits[waits.len() * part / 100] as f64 / 1000.0;
     format!("{:.2} / {:.2} / {:.2}", at(50), at(95), at(99))
 }
 
-fn row(name: &str, truth: &Truth, meter: &FairnessMeter, used: f64, messages: f64) {
+fn row(name: &str, log: &RequestLog, meter: &FairnessMeter, used: f64, messages: f64) {
     println!(
         "| {name} | {} | {:.1} % | {} | {} | {messages:.1} |",
         meter.largest().map_or(0, |gap| gap.size.to_units().0),
         100.0 * used,
-        percentiles(truth, 0..2),
-        percentiles(truth, 6..16),
+        percentiles(log, 0..2),
+        percentiles(log, 6..16),
     );
 }
 
@@ -96,17 +96,17 @@
     let t = &sim.traffic;
     let messages = t.waits.0 + t.nothing.0 + t.free.0 + t.pull.0 + t.not_started;
     let per_request = messages as f64 / (t.opened - opened) as f64;
-    row(name, &sim.truth, &sim.meter, used, per_request);
+    row(name, &sim.log, &sim.meter, used, per_request);
 }
 
-fn plainly(name: &str, place: Place, policy: ChoicePolicy, saturated: bool) {
-    let mut plain = Plain::new(place, policy, sources(saturated));
-    plain.run(WARM_UP);
-    plain.restart_measures();
-    plain.run(WARM_UP + MEASURED);
-    let used = plain.used(MEASURED);
-    let per_request = plain.messages as f64 / plain.started as f64;
-    row(name, &plain.truth, &plain.meter, used, per_request);
+fn run_baseline(name: &str, location: QueueLocation, policy: ChoicePolicy, saturated: bool) {
+    let mut baseline = Baseline::new(location, policy, sources(saturated));
+    baseline.run(WARM_UP);
+    baseline.reset_measurements();
+    baseline.run(WARM_UP + MEASURED);
+    let used = baseline.utilisation(MEASURED);
+    let per_request = baseline.messages as f64 / baseline.started as f64;
+    row(name, &baseline.log, &baseline.meter, used, per_request);
 }
 
 fn main() {
@@ -130,17 +130,22 @@
             saturated,
         );
         let fair = ChoicePolicy::Fair;
-        plainly(
+        run_baseline(
             "queues at the sidecars, fair",
-            Place::Sidecars,
+            QueueLocation::Sidecars,
+            fair,
+            saturated,
+        );
+        run_baseline(
+            "central dispatcher, fair",
+            QueueLocation::Dispatcher,
             fair,
             saturated,
         );
-        plainly("central dispenser, fair", Place::Dispenser, fair, saturated);
         let fifo = ChoicePolicy::Fifo;
-        plainly(
-            "central dispenser, first come first served",
-            Place::Dispenser,
+        run_baseline(
+            "central dispatcher, first come first served",
+            QueueLocation::Dispatcher,
             fifo,
             saturated,
         );
--- a/crates/router/examples/where_work_waits/queue.rs
+++ b/crates/router/examples/where_work_waits/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait in one place, and the slots they wait for.
+//! A queue of waiting requests, and the slots of a host.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -8,14 +8,14 @@
 
 use super::sim::Source;
 
-/// Furthest that two waiting accounts may stand apart, in units at weight 1.
+/// Largest difference between two waiting accounts, in service units at weight 1.
 const HORIZON: ServiceUnits = ServiceUnits(10_000_000);
 
-/// Requests that wait in one place.
+/// A queue with its ledger of service per account.
 pub(crate) struct Queue {
     pub(crate) ledger: FairLedger,
     pub(crate) waiting: HashMap<AccountName, VecDeque<u64>>,
-    told: HashMap<AccountName, ServiceUnits>,
+    reported: HashMap<AccountName, ServiceUnits>,
 }
 
 impl Queue {
@@ -27,12 +27,12 @@
         Self {
             ledger,
             waiting: HashMap::new(),
-            told: HashMap::new(),
+            reported: HashMap::new(),
         }
     }
 
-    /// Brings the ledger in step with what waits of an account.
-    pub(crate) fn tell(
+    /// Updates the ledger with an account's waiting requests.
+    pub(crate) fn update_waiting(
         &mut self,
         now: Duration,
         pool: &PoolName,
@@ -47,20 +47,20 @@
         self.ledger.set_waiting(pool, account, waiting, now);
     }
 
-    /// Adds the service given since the last call to the totals.
+    /// Adds the service since the last call to the totals.
     pub(crate) fn report(&mut self, totals: &mut BTreeMap<AccountName, ServiceUnits>) {
         for (account, units) in self.ledger.take_unsent() {
             *totals.entry(account.clone()).or_default() += units;
-            *self.told.entry(account).or_default() += units;
+            *self.reported.entry(account).or_default() += units;
         }
     }
 
-    /// Learns what the others gave.
-    pub(crate) fn learn(&mut self, totals: &BTreeMap<AccountName, ServiceUnits>) {
-        let own = &self.told;
+    /// Merges the service of the other queues into the ledger.
+    pub(crate) fn merge_totals(&mut self, totals: &BTreeMap<AccountName, ServiceUnits>) {
+        let local = &self.reported;
         let elsewhere = totals.iter().map(|(account, total)| {
-            let own = own.get(account).copied().unwrap_or_default();
-            (account, ServiceUnits(total.0 - own.0))
+            let local = local.get(account).copied().unwrap_or_default();
+            (account, ServiceUnits(total.0 - local.0))
         });
         self.ledger.learn_elsewhere(elsewhere);
     }
@@ -69,7 +69,7 @@
 /// A sidecar with one upstream.
 #[derive(Default, Clone)]
 pub(crate) struct Host {
-    /// Slots free as far as whoever fills them knows.
+    /// Free slots as known to the queue that fills them.
     pub(crate) free: usize,
     pub(crate) running: usize,
     pub(crate) queued: usize,
--- a/crates/router/tests/concurrency.rs
+++ b/crates/router/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! How many requests of an account run at once through one entry.
+//! Limits on concurrent requests of an account through one entry.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -37,13 +37,13 @@
     }
 }
 
-/// Requests begun, and what a sidecar was last told of the waiting ones of `bistro`.
+/// Started requests, and the last count of `bistro`'s waiting requests reported to a sidecar.
 fn outcome(core: &mut EntryCore) -> (Vec<u64>, Option<u32>) {
-    let mut begun = Vec::new();
-    let mut told = None;
+    let mut started = Vec::new();
+    let mut reported = None;
     for action in core.take_actions(NOW) {
         match action {
-            EntryAction::OpenAttempt { waiting, .. } => begun.push(waiting.request),
+            EntryAction::OpenAttempt { waiting, .. } => started.push(waiting.request),
             EntryAction::Send {
                 message: ToSidecar::Waits { changes, .. },
                 ..
@@ -51,19 +51,18 @@
                 let of_bistro = changes
                     .iter()
                     .find(|wait| wait.account == account("bistro"));
-                told = of_bistro.map(|wait| wait.count).or(told);
+                reported = of_bistro.map(|wait| wait.count).or(reported);
             }
             _ => {}
         }
     }
-    (begun, told)
+    (started, reported)
 }
 
-// An account may run one request at once through this entry, and sends three. One is offered; the
-// others wait although slots are free, and sidecars are told of none, or they would pull in vain.
-// When the first ends one more is told of, and a pull gets it. Another account is not held up.
+// An account with a limit of one sends three requests. The first is offered. The others are not
+// reported to sidecars, which could only pull in vain, until the first ends; then a pull gets one.
 #[gtest]
-fn an_account_runs_no_more_at_once_than_it_may() {
+fn an_account_stays_within_its_concurrency_limit() {
     let domain = DomainName::new("jhb-north").unwrap();
     let mut core = EntryCore::new(Incarnation(1), domain.clone());
     core.set_running_limits(HashMap::from([(account("bistro"), 1)]));
--- a/crates/router/tests/late_binding/main.rs
+++ b/crates/router/tests/late_binding/main.rs
@@ -1,4 +1,4 @@
-//! Late binding of entries and sidecars, in virtual time.
+//! Tests of late binding between entries and sidecars, in virtual time.
 
 mod randomised;
 mod scenarios;
--- a/crates/router/tests/late_binding/randomised.rs
+++ b/crates/router/tests/late_binding/randomised.rs
@@ -31,7 +31,7 @@
         source.cost.1 = rng.random_range(100..600);
         source.bookings = if rng.random_bool(0.3) { 0.5 } else { 0.0 };
         source.suspects = if rng.random_bool(0.2) { 0.2 } else { 0.0 };
-        source.patience = Duration::from_secs(rng.random_range(2..60));
+        source.timeout = Duration::from_secs(rng.random_range(2..60));
         source
     };
     (0..count).map(source).collect::<Vec<_>>()
@@ -40,17 +40,18 @@
 fn run_case(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let entries = rng.random_range(1..4);
-    let calm = rng.random_bool(0.3);
+    let without_faults = rng.random_bool(0.3);
     let pools = rng.random_range(1..3);
     let unreachable = if rng.random_bool(0.3) { 0.1 } else { 0.0 };
     let sources = random_sources(&mut rng, entries);
-    // Suspects run one by one and failed runs elsewhere only: who has many of them is not served by
-    // its weight, however it stands.
-    let plain = unreachable == 0.0 && sources.iter().all(|source| source.suspects == 0.0);
+    // Suspects run one at a time and failed requests avoid a sidecar, so an account with many of
+    // them is not served by weight.
+    let without_refusals =
+        unreachable == 0.0 && sources.iter().all(|source| source.suspects == 0.0);
     let options = Options {
         seed,
         pools,
-        bounded_gap: calm && plain && pools == 1,
+        bounded_gap: without_faults && without_refusals && pools == 1,
         entries,
         sidecars: rng.random_range(1..5),
         slots: rng.random_range(1..10),
@@ -60,16 +61,16 @@
     let mut sim = Sim::new(options, sources);
     for _ in 0..40 {
         sim.run(Duration::from_millis(rng.random_range(50..2_000)));
-        if !calm {
+        if !without_faults {
             sim.random_fault();
         }
     }
-    sim.come_to_rest();
+    sim.drain_and_check();
 }
 
-/// Whatever is cut, restarted or crossed, callers get one end for each request, and no request runs
-/// twice or after it was said not to have run; slots come back, and none stays free beside waiting
-/// work. Each of these is asserted inside the cores, or by the harness as it happens.
+/// Under lost connections, restarts and reordered events every request ends once, none runs twice
+/// or after it was reported as not run, every slot is freed, and none idles while requests wait.
+/// The cores and the simulation assert this at each step.
 #[test]
 fn no_request_is_lost_or_run_twice_and_no_slot_leaks() {
     let first = from_env("LATE_BINDING_SEED", FIRST_SEED);
--- a/crates/router/tests/late_binding/scenarios.rs
+++ b/crates/router/tests/late_binding/scenarios.rs
@@ -1,8 +1,8 @@
-//! What callers get of late binding under load and faults, in virtual time with fixed seeds.
+//! Service under load and faults, in virtual time with fixed seeds.
 
 use std::time::Duration;
 
-use crate::sim::{Ended, Options, Sim, Source, bound};
+use crate::sim::{Options, Outcome, Sim, Source, bound};
 use coltsfootnotch_decide::fair::ChoicePolicy;
 use coltsfootnotch_decide::window::WindowTargets;
 use coltsfootnotch_router::{UpstreamTable, UpstreamUpdate};
@@ -11,12 +11,12 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-fn flood(name: &str, weight: u32, entries: &[usize]) -> Source {
+fn backlogged(name: &str, weight: u32, entries: &[usize]) -> Source {
     let mut source = Source::new(name);
     source.weight = Weight::new(weight).expect("a valid weight");
     source.entries = entries.to_vec();
     source.backlog = 20;
-    source.patience = 10 * MINUTE;
+    source.timeout = 10 * MINUTE;
     source
 }
 
@@ -27,32 +27,29 @@
     source
 }
 
-/// Asserts that each account has its share of the starts since `since`, within five points, and that
-/// nearly all (95 in 100) of its requests waited for less than so many milliseconds.
-///
-/// Figures to the millisecond would change with every change of a decision that callers don't notice.
+/// Asserts that each account has its share of the starts since `since`, within five percentage
+/// points, and that the 95th percentile of its waits is below the given number of milliseconds.
 fn expect_shares(sim: &Sim, since: Duration, expected: &[(f64, u64)]) {
-    let waits = (0..expected.len()).map(|i| sim.truth.waits(i, since));
+    let waits = (0..expected.len()).map(|i| sim.log.waits(i, since));
     let waits: Vec<Vec<u64>> = waits.collect();
     let all: usize = waits.iter().map(Vec::len).sum();
     for (waits, (share, longest)) in waits.iter().zip(expected) {
-        let got = waits.len() as f64 / all as f64;
-        expect_that!(got, near(*share, 0.05));
+        let share_of_starts = waits.len() as f64 / all as f64;
+        expect_that!(share_of_starts, near(*share, 0.05));
         let nearly_all = waits.get(waits.len() * 95 / 100).copied();
         expect_that!(nearly_all, some(lt(*longest)));
     }
 }
 
-/// Three accounts with weights 1, 2 and 4 are always backlogged, each at entries of its own: one
-/// reaches a single entry, another all. The slots serve whoever is furthest behind over the whole
-/// fleet, so each gets service by its weight and the gap stays within the bound, which the meter
-/// asserts at every count.
+/// Three accounts with weights 1, 2 and 4 are always backlogged, at one to four entries. Each gets
+/// service by its weight wherever its requests arrive, and the gap stays within the bound, which
+/// the meter asserts at every count.
 #[gtest]
-fn a_saturated_pool_serves_by_weight_however_accounts_spread() {
+fn a_saturated_pool_serves_accounts_by_weight() {
     let sources = vec![
-        flood("small", 1, &[0]),
-        flood("middle", 2, &[1, 2]),
-        flood("large", 4, &[0, 1, 2, 3]),
+        backlogged("small", 1, &[0]),
+        backlogged("middle", 2, &[1, 2]),
+        backlogged("large", 4, &[0, 1, 2, 3]),
     ];
     let options = Options {
         entries: 4,
@@ -69,11 +66,11 @@
     expect_shares(&sim, MINUTE, &expected);
 }
 
-/// One account keeps 300 requests waiting; two others send a request now and then. Theirs go before
-/// the flood's as soon as a slot comes free, so they wait for about one slot's end.
+/// One account keeps 300 requests waiting; two others send few. The requests of these run as soon
+/// as a slot becomes free.
 #[gtest]
-fn a_flood_starves_nobody() {
-    let mut noisy = flood("noisy", 1, &[0, 1]);
+fn a_backlogged_account_does_not_starve_others() {
+    let mut noisy = backlogged("noisy", 1, &[0, 1]);
     noisy.backlog = 300;
     let sources = vec![
         noisy,
@@ -83,7 +80,7 @@
     let mut sim = Sim::new(Options::default(), sources);
     sim.run(3 * MINUTE);
     for source in [1, 2] {
-        let waits = sim.truth.waits(source, MINUTE);
+        let waits = sim.log.waits(source, MINUTE);
         expect_that!(waits.last().copied(), some(lt(3_000)));
     }
     expect_shares(
@@ -93,15 +90,15 @@
     );
 }
 
-/// An entry and a sidecar are cut off from the rest for an hour and go on serving each other. At the
-/// rejoin the account that reaches both sides has been served twice as much; the others are owed no
-/// more than the horizon for it, so it is not starved, and all share again.
+/// An entry and a sidecar are partitioned from the rest for an hour. The account that reaches both
+/// sides is served twice as much meanwhile. The others catch up by no more than the horizon, so it
+/// is not starved after the partition.
 #[gtest]
-fn an_hour_apart_and_the_rejoin() {
+fn accounts_share_equally_after_an_hour_of_partition() {
     let sources = vec![
-        flood("both", 1, &[0, 1]),
-        flood("here", 1, &[0]),
-        flood("there", 1, &[1]),
+        backlogged("both", 1, &[0, 1]),
+        backlogged("here", 1, &[0]),
+        backlogged("there", 1, &[1]),
     ];
     let options = Options {
         sidecars: 2,
@@ -113,25 +110,27 @@
     sim.run(MINUTE);
     sim.cut(0, 1);
     sim.cut(1, 0);
-    sim.sidecars[1].relayed = false;
+    sim.sidecars[1].has_relay = false;
     sim.run(60 * MINUTE);
     sim.connect(0, 1);
     sim.connect(1, 0);
-    sim.sidecars[1].relayed = true;
+    sim.sidecars[1].has_relay = true;
     let rejoined = sim.now;
     sim.run(10 * MINUTE);
-    let started: Vec<usize> = (0..3).map(|i| sim.truth.waits(i, rejoined).len()).collect();
+    let started: Vec<usize> = (0..3).map(|i| sim.log.waits(i, rejoined).len()).collect();
     expect_that!(started, each(gt(&100)));
     expect_shares(&sim, rejoined, &[(1.0 / 3.0, 70_000); 3]);
-    sim.come_to_rest();
+    sim.drain_and_check();
 }
 
-/// Every entry restarts with no state, then every sidecar. Callers of a restarted entry lose their
-/// connections; runs lost with a sidecar are tried elsewhere. Nothing is lost or run twice, and the
-/// newly started hosts serve at once.
+/// Every entry restarts without state, then every sidecar. Only requests of a restarted entry's
+/// callers are lost, none runs twice, and the restarted hosts serve at once.
 #[gtest]
-fn restarts_with_no_state() {
-    let mut sources = vec![flood("large", 4, &[0, 1]), flood("small", 1, &[1])];
+fn hosts_that_restart_without_state_serve_at_once() {
+    let mut sources = vec![
+        backlogged("large", 4, &[0, 1]),
+        backlogged("small", 1, &[1]),
+    ];
     sources[1].bookings = 0.5;
     let options = Options {
         bounded_gap: false,
@@ -148,16 +147,16 @@
     }
     let restarted = sim.now;
     sim.run(MINUTE);
-    expect_that!(sim.truth.waits(1, restarted).len(), gt(10));
-    sim.come_to_rest();
-    expect_that!(sim.truth.count(Ended::NotRun), eq(0));
+    expect_that!(sim.log.waits(1, restarted).len(), gt(10));
+    sim.drain_and_check();
+    expect_that!(sim.log.count(Outcome::NotRun), eq(0));
 }
 
-/// One upstream says that it leaves and another falls silent. The harness asserts at every start that
-/// neither has had that state for 3 s; callers notice nothing but less capacity.
+/// One upstream announces that it leaves and another stops announcing. The simulation asserts that
+/// neither starts a request more than 3 s later.
 #[gtest]
 fn a_leaving_and_a_silent_upstream_get_no_new_work() {
-    let sources = vec![flood("large", 1, &[0, 1]), steady("small", 1.0, &[0])];
+    let sources = vec![backlogged("large", 1, &[0, 1]), steady("small", 1.0, &[0])];
     let mut sim = Sim::new(Options::default(), sources);
     sim.run(MINUTE / 2);
     sim.sidecars[0].engine.leaving = Some(sim.now);
@@ -167,14 +166,14 @@
     expect_that!(sim.sidecars[0].engine.active.len(), eq(0));
     expect_that!(sim.sidecars[1].engine.active.len(), eq(0));
     expect_that!(sim.sidecars[2].engine.active.len(), gt(0));
-    sim.come_to_rest();
+    sim.drain_and_check();
 }
 
-/// Suspects of crashes find another suspect running. They are held back instead of being pulled and
-/// sent back once for every round trip, and the rest of their account is served meanwhile.
+/// Crash suspects that are refused because another suspect runs are retried with a backoff instead
+/// of once per round trip, and other requests are served meanwhile.
 #[gtest]
-fn a_suspect_that_waits_for_another_does_not_spin() {
-    let mut suspects = flood("suspects", 1, &[0]);
+fn a_suspect_blocked_by_another_is_retried_with_backoff() {
+    let mut suspects = backlogged("suspects", 1, &[0]);
     suspects.backlog = 4;
     suspects.suspects = 1.0;
     let options = Options {
@@ -183,17 +182,17 @@
         bounded_gap: false,
         ..Options::default()
     };
-    let mut sim = Sim::new(options, vec![suspects, flood("clean", 1, &[0])]);
+    let mut sim = Sim::new(options, vec![suspects, backlogged("clean", 1, &[0])]);
     sim.traffic.measuring = true;
     sim.run(MINUTE);
-    expect_that!(sim.truth.waits(0, Duration::ZERO).len(), gt(10));
-    // Four suspects, each tried again every 0.8 s after a few quicker tries.
+    expect_that!(sim.log.waits(0, Duration::ZERO).len(), gt(10));
+    // Four suspects, each retried every 0.8 s after a few quicker retries.
     expect_that!(sim.traffic.not_started, lt(600));
-    sim.come_to_rest();
+    sim.drain_and_check();
 }
 
-/// A request has failed at the only sidecar of its pool; the other sidecar serves another pool. It
-/// runs there again rather than wait for one that will never come.
+/// A request that has failed at the only sidecar of its pool is retried there instead of waiting
+/// for another sidecar.
 #[gtest]
 fn the_last_sidecar_of_a_pool_is_not_avoided() {
     let sources = vec![steady("only", 0.2, &[0]), steady("other", 0.2, &[0])];
@@ -207,18 +206,20 @@
     };
     let mut sim = Sim::new(options, sources);
     sim.run(MINUTE);
-    sim.come_to_rest();
-    expect_that!(sim.truth.count(Ended::NotRun), eq(0));
-    expect_that!(sim.truth.count(Ended::Unknown), eq(0));
+    sim.drain_and_check();
+    expect_that!(sim.log.count(Outcome::NotRun), eq(0));
+    expect_that!(sim.log.count(Outcome::Unknown), eq(0));
 }
 
-/// An engine loads another model while it still runs requests of the first: it comes back under
-/// another pool. The runs go on to their ends, new work of the old pool goes elsewhere, and the slots
-/// of both pools are counted apart. Counted together, the end of an old run freed a slot that was
-/// never taken, and the sidecar stopped with a failed assertion.
+/// An engine announces another pool while it still runs requests of the first. The runs finish, and
+/// the slots of both pools are counted separately. If the end of an old run is counted on the new
+/// slots, it frees a slot that was never taken, which fails an assertion of the sidecar.
 #[gtest]
 fn an_upstream_changes_its_pool_during_runs() {
-    let sources = vec![flood("first", 1, &[0, 1]), flood("second", 1, &[0])];
+    let sources = vec![
+        backlogged("first", 1, &[0, 1]),
+        backlogged("second", 1, &[0]),
+    ];
     let options = Options {
         pools: 2,
         bounded_gap: false,
@@ -229,15 +230,19 @@
         sim.run(MINUTE / 12);
         sim.sidecars[0].engine.pool = sim.pool(turn);
     }
-    sim.come_to_rest();
-    expect_that!(sim.truth.count(Ended::Unknown), eq(0));
+    sim.drain_and_check();
+    expect_that!(sim.log.count(Outcome::Unknown), eq(0));
 }
 
-/// What a saturated pool's gap is measured against.
+/// The service gap of a saturated pool is within the bound with the fair policy, and larger with
+/// FIFO.
 #[gtest]
-fn the_gap_of_the_other_policies_is_larger() {
+fn fifo_has_a_larger_service_gap_than_fair() {
     let gap = |policy| {
-        let mut sources = vec![flood("large", 1, &[0, 1]), flood("small", 1, &[0])];
+        let mut sources = vec![
+            backlogged("large", 1, &[0, 1]),
+            backlogged("small", 1, &[0]),
+        ];
         sources[0].backlog = 200;
         sources[1].backlog = 2;
         let options = Options {
@@ -255,15 +260,14 @@
     expect_that!(gap(ChoicePolicy::Fifo).0, gt(fair));
 }
 
-// An engine has loaded a new version in place of the old one, and the version is bad. It gets one
-// request at a time at first and a hundredth of its slots more each second, so that most callers are
-// still served by the version that they know when an operator sees the errors.
+// A new version of an upstream gets one request at a time at first and a hundredth of its slots
+// more each second, so that a bad version fails few requests before it is noticed.
 #[gtest]
 fn a_new_version_gets_its_slots_gradually() {
     let second = Duration::from_secs(1);
     let pool = PoolName::new("spec-llm").expect("a valid name");
     let name = UpstreamName::new("spec-llm-1").expect("a valid name");
-    let news = |now: Duration| UpstreamUpdate {
+    let update = |now: Duration| UpstreamUpdate {
         live_until: now + 3 * second,
         leaving: false,
         queued: 0,
@@ -275,20 +279,20 @@
         Duration::ZERO,
         name.clone(),
         pool.clone(),
-        news(Duration::ZERO),
+        update(Duration::ZERO),
     );
-    let whole = table.free(Duration::ZERO, &pool);
-    let slots = table.get_mut(&name).expect("it was announced");
+    let all = table.free(Duration::ZERO, &pool);
+    let slots = table.get_mut(&name).expect("the upstream was announced");
     slots.on_version_change(Duration::ZERO);
     let free = (0..=100).map(|seconds| {
         let now = seconds * second;
-        table.apply_announcement(now, name.clone(), pool.clone(), news(now));
+        table.apply_announcement(now, name.clone(), pool.clone(), update(now));
         table.free(now, &pool)
     });
     let free: Vec<u32> = free.collect();
-    expect_that!(whole, ge(2));
+    expect_that!(all, ge(2));
     expect_that!(
         [free[1], free[50], free[100]],
-        eq([1, whole.div_ceil(2), whole])
+        eq([1, all.div_ceil(2), all])
     );
 }
--- a/crates/router/tests/late_binding/sim/attempts.rs
+++ b/crates/router/tests/late_binding/sim/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts in the harness: opened, decided, run, ended.
+//! Attempts in the simulation, from opening to end.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use rand::Rng;
 
 use super::engine::{PREFILL, Run};
-use super::{Ended, Event, Request, Sim, Stage};
+use super::{Event, Outcome, Request, Sim, Stage};
 
-/// Most attempts of a request that may be repeated.
+/// Maximum attempts of a request that may be repeated.
 const MAX_ATTEMPTS: u32 = 3;
 
 impl Sim {
@@ -18,7 +18,7 @@
         let link = self.links[e][s].at_entry;
         let (run, number) = (self.entries[e].run, waiting.request);
         let request = self.entries[e].requests.get_mut(&number);
-        let request = request.expect("what begins is known");
+        let request = request.expect("an opened request is registered");
         assert!(matches!(request.stage, Stage::Waiting { .. }));
         request.waiting = waiting;
         let source = request.source;
@@ -27,10 +27,10 @@
         if begin.repeatable {
             let attempt = begin.attempt;
             self.set_stage(e, number, Stage::Running { attempt, s, link });
-            self.at(at, Event::Open { e, s, link, begin });
+            self.schedule(at, Event::Open { e, s, link, begin });
         } else {
             self.set_stage(e, number, Stage::Intent);
-            self.at(
+            self.schedule(
                 at + self.now.min(PREFILL),
                 Event::Committed {
                     e,
@@ -61,7 +61,7 @@
         }
         self.set_stage(e, attempt.request, Stage::Running { attempt, s, link });
         let at = self.now + self.delay();
-        self.at(at, Event::Open { e, s, link, begin });
+        self.schedule(at, Event::Open { e, s, link, begin });
     }
 
     pub(super) fn on_open(&mut self, e: usize, s: usize, link: u64, begin: &Begin) {
@@ -82,7 +82,7 @@
             Err(reason) => {
                 self.traffic.not_started += 1;
                 let at = now + self.delay();
-                self.at(
+                self.schedule(
                     at,
                     Event::NotStarted {
                         e,
@@ -106,8 +106,8 @@
                 "new work for {upstream}"
             );
         }
-        self.truth.start(now, attempt);
-        let record = &self.truth.records[attempt.request as usize];
+        self.log.start(now, attempt);
+        let record = &self.log.records[attempt.request as usize];
         let run = Run {
             attempt,
             source: record.source,
@@ -118,14 +118,14 @@
             counted: 0,
         };
         let admitted = engine.add(now, run);
-        self.admitted(s, admitted);
+        self.schedule_run(s, admitted);
     }
 
-    fn admitted(&mut self, s: usize, admitted: Option<(AttemptId, Duration)>) {
+    fn schedule_run(&mut self, s: usize, admitted: Option<(AttemptId, Duration)>) {
         let run = self.sidecars[s].run;
         if let Some((attempt, end)) = admitted {
-            self.at(self.now + PREFILL, Event::First { s, run, attempt });
-            self.at(end, Event::Finish { s, run, attempt });
+            self.schedule(self.now + PREFILL, Event::FirstChunk { s, run, attempt });
+            self.schedule(end, Event::Finish { s, run, attempt });
         }
     }
 
@@ -134,8 +134,8 @@
         let Some((run, admitted)) = self.sidecars[s].engine.end(now, attempt) else {
             return;
         };
-        self.admitted(s, admitted);
-        self.serve(run.source, run.cost - run.counted);
+        self.schedule_run(s, admitted);
+        self.count_service(run.source, run.cost - run.counted);
         let total = ServiceUnits(run.cost);
         let core = &mut self.sidecars[s].core;
         core.progress(now, attempt, run.cost, total);
@@ -143,12 +143,12 @@
         let (e, link) = (run.entry, run.link);
         let at = now + self.delay();
         if !self.links[e][s].cut && self.links[e][s].at_sidecar == link {
-            self.at(at, Event::Done { e, link, attempt });
+            self.schedule(at, Event::Done { e, link, attempt });
         }
         self.run_sidecar(s);
     }
 
-    fn serve(&mut self, source: usize, tokens: u64) {
+    fn count_service(&mut self, source: usize, tokens: u64) {
         if !self.options.checked {
             return;
         }
@@ -164,7 +164,7 @@
             let mut counted = Vec::new();
             let engine = &self.sidecars[s].engine;
             for (i, run) in engine.active.iter().enumerate() {
-                counted.push((i, engine.yielded(now, run)));
+                counted.push((i, engine.tokens_generated(now, run)));
             }
             for (i, tokens) in counted {
                 let run = &mut self.sidecars[s].engine.active[i];
@@ -173,7 +173,7 @@
                 let (attempt, source) = (run.attempt, run.source);
                 let core = &mut self.sidecars[s].core;
                 core.progress(now, attempt, tokens, ServiceUnits(tokens));
-                self.serve(source, more);
+                self.count_service(source, more);
             }
         }
     }
@@ -194,7 +194,7 @@
     fn requeue(&mut self, e: usize, number: u64, reason: Option<NotStartedReason>) {
         let now = self.now;
         let request = self.entries[e].requests.get_mut(&number);
-        let request = request.expect("what is requeued is known");
+        let request = request.expect("a requeued request is registered");
         if let (
             Some(NotStartedReason::NotReached | NotStartedReason::Leaving),
             Stage::Running { s, .. },
@@ -211,32 +211,37 @@
         self.entries[e].core.requeue(waiting);
     }
 
-    /// Ends the attempts at a sidecar whose connection broke.
-    pub(crate) fn lose_attempts(&mut self, e: usize, at: usize) {
+    /// Retries or fails the attempts at a sidecar whose connection was lost.
+    pub(crate) fn fail_attempts(&mut self, e: usize, at: usize) {
         let requests = &self.entries[e].requests;
-        let there = requests
+        let running = requests
             .iter()
             .filter(|(_, r)| matches!(r.stage, Stage::Running { s, .. } if s == at));
-        let lost: Vec<u64> = there.map(|(number, _)| *number).collect();
+        let lost: Vec<u64> = running.map(|(number, _)| *number).collect();
         for number in lost {
             let request = self.entries[e]
                 .requests
                 .get_mut(&number)
-                .expect("it was found");
+                .expect("its number was just listed");
             if request.waiting.repeatable && request.waiting.attempt + 1 < MAX_ATTEMPTS {
                 request.waiting.avoid.push(self.sidecars[at].host.clone());
                 self.requeue(e, number, None);
             } else {
                 self.entries[e].requests.remove(&number);
-                self.truth.end(number, Ended::Unknown);
+                self.log.end(number, Outcome::Unknown);
             }
         }
     }
 
     pub(super) fn is_running(&self, e: usize, attempt: AttemptId, link: u64) -> bool {
         let request = self.entries[e].requests.get(&attempt.request);
-        let is_it = |r: &Request| matches!(r.stage, Stage::Running { attempt: a, link: l, .. } if (a, l) == (attempt, link));
-        self.entries[e].run == attempt.entry && request.is_some_and(is_it)
+        let is_on_link = |r: &Request| {
+            matches!(
+                r.stage,
+                Stage::Running { attempt: a, link: l, .. } if (a, l) == (attempt, link)
+            )
+        };
+        self.entries[e].run == attempt.entry && request.is_some_and(is_on_link)
     }
 
     fn set_stage(&mut self, e: usize, number: u64, stage: Stage) {
@@ -245,7 +250,7 @@
         }
     }
 
-    pub(super) fn begin_of(
+    pub(super) fn begin_message(
         &self,
         e: usize,
         attempt: AttemptId,
--- a/crates/router/tests/late_binding/sim/engine.rs
+++ b/crates/router/tests/late_binding/sim/engine.rs
@@ -1,4 +1,4 @@
-//! A fake upstream: so many requests at once, the rest waits inside it.
+//! A fake upstream that runs a fixed number of requests at once and queues the rest.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 /// Time from admission to the first token.
 pub(crate) const PREFILL: Duration = Duration::from_millis(50);
 
-/// A run inside an engine.
+/// A run in an engine.
 #[derive(Clone)]
 pub(crate) struct Run {
     pub(crate) attempt: AttemptId,
@@ -25,7 +25,7 @@
 pub(crate) struct Engine {
     pub(crate) name: UpstreamName,
     pub(crate) pool: PoolName,
-    /// The pool of its last announcement: all that its sidecar can know.
+    /// The pool of its last announcement, as known to its sidecar.
     pub(crate) announced: PoolName,
     pub(crate) slots: usize,
     /// Tokens a second in each slot.
@@ -55,19 +55,19 @@
         }
     }
 
-    /// Slot time used since the last call.
+    /// Busy time of its slots since the last call.
     pub(crate) fn take_busy(&mut self, now: Duration) -> Duration {
         self.count_busy(now);
         std::mem::take(&mut self.busy)
     }
 
-    /// Takes in a run; gives back its end if it is admitted at once.
+    /// Queues a run. Returns the next admitted run and its end, if a slot is free.
     pub(crate) fn add(&mut self, now: Duration, run: Run) -> Option<(AttemptId, Duration)> {
         self.queue.push_back(run);
         self.admit(now)
     }
 
-    /// Ends a run; gives it, and what is admitted in its place.
+    /// Ends a run. Returns it, and the run admitted in its place.
     pub(crate) fn end(
         &mut self,
         now: Duration,
@@ -79,8 +79,8 @@
         Some((run, self.admit(now)))
     }
 
-    /// Tokens that a run has yielded.
-    pub(crate) fn yielded(&self, now: Duration, run: &Run) -> u64 {
+    /// Number of tokens that a run has generated.
+    pub(crate) fn tokens_generated(&self, now: Duration, run: &Run) -> u64 {
         let since = run.admitted.map_or(now, |at| at + PREFILL);
         let millis = now.saturating_sub(since).as_millis() as u64;
         (millis * self.rate / 1000).min(run.cost)
@@ -93,8 +93,8 @@
         }
         let mut run = self.queue.pop_front()?;
         run.admitted = Some(now);
-        let takes = Duration::from_millis(run.cost * 1000 / self.rate + 1);
-        let end = (run.attempt, now + PREFILL + takes);
+        let duration = Duration::from_millis(run.cost * 1000 / self.rate + 1);
+        let end = (run.attempt, now + PREFILL + duration);
         self.active.push(run);
         Some(end)
     }
--- a/crates/router/tests/late_binding/sim/entry.rs
+++ b/crates/router/tests/late_binding/sim/entry.rs
@@ -1,4 +1,4 @@
-//! One entry host of the harness: the core, and what its daemon would keep.
+//! An entry of the simulation: the core, and the state that its daemon keeps.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::AttemptId;
 
-/// Where a request is.
+/// Stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
     Waiting {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Hosts spread over three failure domains.
+/// Failure domain of a host, one of three.
 pub(crate) fn domain(index: usize) -> DomainName {
     DomainName::new(format!("domain-{}", index % 3)).expect("a valid name")
 }
--- a/crates/router/tests/late_binding/sim/events.rs
+++ b/crates/router/tests/late_binding/sim/events.rs
@@ -1,4 +1,4 @@
-//! What happens in the harness, one event after another.
+//! Events of the simulation and their handlers.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 use rand::Rng;
 
 use super::entry::domain;
-use super::{Ended, Sim, Stage};
+use super::{Outcome, Sim, Stage};
 
 #[derive(Clone)]
 pub(crate) enum Event {
     Tick(u64),
     Arrive(usize),
-    Up {
+    Connected {
         e: usize,
         s: usize,
         link: u64,
         entry_first: bool,
     },
-    Down {
+    Disconnected {
         e: usize,
         s: usize,
         link: u64,
@@ -62,7 +62,7 @@
         link: u64,
         attempt: AttemptId,
     },
-    First {
+    FirstChunk {
         s: usize,
         run: Incarnation,
         attempt: AttemptId,
@@ -75,8 +75,8 @@
 }
 
 impl Sim {
-    pub(crate) fn at(&mut self, time: Duration, event: Event) {
-        let number = self.number();
+    pub(crate) fn schedule(&mut self, time: Duration, event: Event) {
+        let number = self.next_number();
         self.events.insert((time, number), event);
     }
 
@@ -85,8 +85,8 @@
         Duration::from_micros(self.rng.random_range(least..=greatest))
     }
 
-    /// When a control message sent now arrives: after the one before it.
-    fn in_order(&mut self, e: usize, s: usize, way: usize) -> Duration {
+    /// Arrival of a control message that is sent now, never before that of the previous one.
+    fn ordered_arrival(&mut self, e: usize, s: usize, way: usize) -> Duration {
         let at = self.now + self.delay();
         let last = &mut self.links[e][s].last[way];
         *last = at.max(*last);
@@ -95,7 +95,7 @@
 
     pub(crate) fn schedule_arrival(&mut self, source: usize) {
         if let Some(gap) = self.sources[source].draw_gap() {
-            self.at(self.now + gap, Event::Arrive(source));
+            self.schedule(self.now + gap, Event::Arrive(source));
         }
     }
 
@@ -109,18 +109,18 @@
                     self.schedule_arrival(source);
                 }
             }
-            Event::Up {
+            Event::Connected {
                 e,
                 s,
                 link,
                 entry_first,
-            } => self.on_up(e, s, link, entry_first),
-            Event::Down {
+            } => self.on_connected(e, s, link, entry_first),
+            Event::Disconnected {
                 e,
                 s,
                 link,
                 at_entry,
-            } => self.on_down(e, s, link, at_entry),
+            } => self.on_disconnected(e, s, link, at_entry),
             Event::ToSidecar {
                 e,
                 s,
@@ -166,10 +166,10 @@
             Event::Done { e, link, attempt } => {
                 if self.is_running(e, attempt, link) {
                     self.entries[e].requests.remove(&attempt.request);
-                    self.truth.end(attempt.request, Ended::Done);
+                    self.log.end(attempt.request, Outcome::Done);
                 }
             }
-            Event::First { s, run, attempt } => {
+            Event::FirstChunk { s, run, attempt } => {
                 if self.sidecars[s].run == run {
                     self.sidecars[s].core.on_first_chunk(now, attempt);
                 }
@@ -182,11 +182,11 @@
         }
     }
 
-    fn on_up(&mut self, e: usize, s: usize, link: u64, entry_first: bool) {
+    fn on_connected(&mut self, e: usize, s: usize, link: u64, entry_first: bool) {
         if self.links[e][s].id != link || self.links[e][s].cut {
             return;
         }
-        self.lose_attempts(e, s);
+        self.fail_attempts(e, s);
         let now = self.now;
         self.links[e][s].at_entry = link;
         self.links[e][s].at_sidecar = link;
@@ -210,13 +210,13 @@
         }
     }
 
-    fn on_down(&mut self, e: usize, s: usize, link: u64, at_entry: bool) {
+    fn on_disconnected(&mut self, e: usize, s: usize, link: u64, at_entry: bool) {
         let now = self.now;
         if at_entry && self.links[e][s].at_entry == link {
             self.links[e][s].at_entry = 0;
             let host = self.sidecars[s].host.clone();
             self.entries[e].core.on_sidecar_disconnected(&host);
-            self.lose_attempts(e, s);
+            self.fail_attempts(e, s);
             self.run_entry(e);
         }
         if !at_entry && self.links[e][s].at_sidecar == link {
@@ -227,16 +227,16 @@
         }
     }
 
-    /// Carries out what an entry's core has decided.
+    /// Carries out the actions of an entry's core.
     pub(crate) fn run_entry(&mut self, e: usize) {
         for action in self.entries[e].core.take_actions(self.now) {
             match action {
                 EntryAction::Send { to, message } => {
-                    let s = number_of(&to);
+                    let s = host_index(&to);
                     let link = self.links[e][s].at_entry;
                     self.traffic.count(&Message::ToSidecar(message.clone()));
-                    let at = self.in_order(e, s, 0);
-                    self.at(
+                    let at = self.ordered_arrival(e, s, 0);
+                    self.schedule(
                         at,
                         Event::ToSidecar {
                             e,
@@ -253,32 +253,32 @@
                     cause,
                     waiting,
                 } => {
-                    let s = number_of(&to);
-                    let begin = self.begin_of(e, attempt, sidecar, cause, &waiting);
+                    let s = host_index(&to);
+                    let begin = self.begin_message(e, attempt, sidecar, cause, &waiting);
                     self.open(e, s, begin, waiting);
                 }
                 EntryAction::Expired { waiting } => {
                     let request = self.entries[e].requests.remove(&waiting.request);
-                    let request = request.expect("what expires is known");
+                    let request = request.expect("an expired request is registered");
                     assert!(matches!(request.stage, Stage::Waiting { .. }));
                     self.sources[request.source].waiting -= 1;
-                    self.truth.end(waiting.request, Ended::NotRun);
+                    self.log.end(waiting.request, Outcome::NotRun);
                 }
             }
         }
     }
 
-    /// Carries out what a sidecar's core has decided.
+    /// Carries out the actions of a sidecar's core.
     pub(crate) fn run_sidecar(&mut self, s: usize) {
         for action in self.sidecars[s].core.take_actions(self.now) {
             let SidecarAction::Send { to, message } = action else {
                 continue;
             };
-            let e = number_of(&to);
+            let e = host_index(&to);
             let link = self.links[e][s].at_sidecar;
             self.traffic.count(&Message::FromSidecar(message.clone()));
-            let at = self.in_order(e, s, 1);
-            self.at(
+            let at = self.ordered_arrival(e, s, 1);
+            self.schedule(
                 at,
                 Event::FromSidecar {
                     e,
@@ -291,9 +291,9 @@
     }
 }
 
-/// Hosts are named by their numbers.
-fn number_of(host: &HostName) -> usize {
+/// The index at the end of a host's name.
+fn host_index(host: &HostName) -> usize {
     let number = host.as_str().rsplit('-').next();
     let number = number.and_then(|number| number.parse().ok());
-    number.expect("a host of the harness")
+    number.expect("host names end with an index")
 }
--- a/crates/router/tests/late_binding/sim/faults.rs
+++ b/crates/router/tests/late_binding/sim/faults.rs
@@ -1,29 +1,29 @@
-//! Connections that come and go, hosts that restart, upstreams that leave.
+//! Faults: lost connections, restarts, and upstreams that leave or stop announcing.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-use super::{Ended, Entry, Event, Sim, Stage};
+use super::{Entry, Event, Outcome, Sim, Stage};
 
-/// Longest time until one end notices that a connection is gone.
-const NOTICE_MS: u64 = 1_500;
-/// Time in which every request ends and every slot comes free once nothing new arrives.
-const TO_REST: Duration = Duration::from_secs(150);
+/// Longest time until an end detects a lost connection.
+const DETECTION_MS: u64 = 1_500;
+/// Time in which every request ends and every slot is freed once no request arrives.
+const DRAIN_TIME: Duration = Duration::from_secs(150);
 
 impl Sim {
-    /// Makes a new connection; what went over an older one is lost.
+    /// Opens a new connection; messages over an older one are lost.
     pub(crate) fn connect(&mut self, e: usize, s: usize) {
-        let link = self.number();
-        let known = &mut self.links[e][s];
-        known.id = link;
-        known.cut = false;
-        known.last = [self.now; 2];
+        let link = self.next_number();
+        let state = &mut self.links[e][s];
+        state.id = link;
+        state.cut = false;
+        state.last = [self.now; 2];
         let entry_first = self.rng.random_bool(0.5);
         let at = self.now + Duration::from_millis(self.rng.random_range(0..20));
-        self.at(
+        self.schedule(
             at,
-            Event::Up {
+            Event::Connected {
                 e,
                 s,
                 link,
@@ -32,15 +32,15 @@
         );
     }
 
-    /// Cuts a connection; each end notices in its own time.
+    /// Cuts a connection; each end detects it after a delay of its own.
     pub(crate) fn cut(&mut self, e: usize, s: usize) {
         self.links[e][s].cut = true;
         let link = self.links[e][s].id;
         for at_entry in [true, false] {
-            let notice = Duration::from_millis(self.rng.random_range(0..NOTICE_MS));
-            self.at(
-                self.now + notice,
-                Event::Down {
+            let detection = Duration::from_millis(self.rng.random_range(0..DETECTION_MS));
+            self.schedule(
+                self.now + detection,
+                Event::Disconnected {
                     e,
                     s,
                     link,
@@ -50,15 +50,15 @@
         }
     }
 
-    /// Restarts an entry with no state; its sidecars notice by the new connections.
+    /// Restarts an entry without state; its sidecars learn of it by the new connections.
     pub(crate) fn restart_entry(&mut self, e: usize) {
-        let run = self.number();
+        let run = self.next_number();
         let old = std::mem::replace(&mut self.entries[e], Entry::new(e, run));
         for (number, request) in old.requests {
             if let Stage::Waiting { .. } = request.stage {
                 self.sources[request.source].waiting -= 1;
             }
-            self.truth.end(number, Ended::WithEntry);
+            self.log.end(number, Outcome::EntryLost);
         }
         for s in 0..self.sidecars.len() {
             self.links[e][s].at_entry = 0;
@@ -66,17 +66,17 @@
         }
     }
 
-    /// Restarts a sidecar with no state, and its upstream with it.
+    /// Restarts a sidecar and its upstream without state.
     pub(crate) fn restart_sidecar(&mut self, s: usize) {
-        let fresh = self.new_sidecar(s);
-        self.sidecars[s] = fresh;
+        let restarted = self.new_sidecar(s);
+        self.sidecars[s] = restarted;
         for e in 0..self.entries.len() {
             self.links[e][s].at_sidecar = 0;
             self.connect(e, s);
         }
     }
 
-    /// Something goes wrong, or ends going wrong.
+    /// Injects a random fault, or ends one.
     pub(crate) fn random_fault(&mut self) {
         let e = self.rng.random_range(0..self.entries.len());
         let s = self.rng.random_range(0..self.sidecars.len());
@@ -106,19 +106,20 @@
                     .core
                     .on_upstream_crash(now, &name, suspects);
             }
-            _ => self.sidecars[s].relayed = !self.sidecars[s].relayed,
+            _ => self.sidecars[s].has_relay = !self.sidecars[s].has_relay,
         }
     }
 
-    /// Ends every fault, sends nothing more, and asserts that all comes to rest.
-    pub(crate) fn come_to_rest(&mut self) {
+    /// Ends every fault, sends no further requests, and asserts that all requests end and all slots
+    /// are freed.
+    pub(crate) fn drain_and_check(&mut self) {
         for s in 0..self.sidecars.len() {
             let pool = self.pool(s);
             let sidecar = &mut self.sidecars[s];
             sidecar.engine.leaving = None;
             sidecar.engine.silent = None;
             sidecar.engine.pool = pool;
-            sidecar.relayed = true;
+            sidecar.has_relay = true;
         }
         for (e, s) in self.pairs() {
             if self.links[e][s].cut {
@@ -129,21 +130,21 @@
             source.backlog = 0;
             source.rate = 0.0;
         }
-        self.run(TO_REST);
-        self.truth.assert_none_lost();
+        self.run(DRAIN_TIME);
+        self.log.assert_none_lost();
         for entry in &self.entries {
-            assert_eq!(entry.core.total_waiting(), 0, "a request waits for ever");
+            assert_eq!(entry.core.total_waiting(), 0, "a request still waits");
         }
         for sidecar in &self.sidecars {
-            assert_eq!(sidecar.core.running(), 0, "a run never ends");
+            assert_eq!(sidecar.core.running(), 0, "an attempt still runs");
             for (name, slots) in sidecar.core.upstreams().iter() {
                 assert_eq!(
                     slots.window.in_flight(),
                     0,
-                    "a slot of {name} is never freed"
+                    "a slot of {name} is still in use"
                 );
-                assert_eq!(slots.reserved, 0, "a slot of {name} stays reserved");
-                assert!(slots.isolation.is_free(), "a suspect holds {name} for ever");
+                assert_eq!(slots.reserved, 0, "a slot of {name} is still reserved");
+                assert!(slots.isolation.is_free(), "a suspect still occupies {name}");
             }
         }
     }
--- a/crates/router/tests/late_binding/sim/mod.rs
+++ b/crates/router/tests/late_binding/sim/mod.rs
@@ -1,15 +1,15 @@
-//! Entries, sidecars and fake engines in virtual time, with links that delay, cross and break.
+//! Simulation of entries, sidecars and fake engines in virtual time, with faulty connections.
 
 mod attempts;
 mod engine;
 mod entry;
 mod events;
 mod faults;
-mod idle;
-mod rounds;
+mod idle_check;
+mod periodic;
+mod request_log;
 mod source;
 mod traffic;
-mod truth;
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -23,16 +23,15 @@
 pub(crate) use engine::Engine;
 pub(crate) use entry::{Entry, Request, Stage};
 pub(crate) use events::Event;
-use idle::Since;
+use idle_check::Since;
+pub(crate) use request_log::{Outcome, RequestLog};
 pub(crate) use source::Source;
 pub(crate) use traffic::Traffic;
-pub(crate) use truth::{Ended, Truth};
 
 pub(crate) const TICK: Duration = Duration::from_millis(20);
 const RELAY_EVERY: u64 = 10;
 const ANNOUNCE_EVERY: u64 = 25;
 
-/// What a run of the harness is made with.
 #[derive(Clone)]
 pub(crate) struct Options {
     pub(crate) seed: u64,
@@ -45,11 +44,11 @@
     /// Least and greatest delay of a link one way, in microseconds.
     pub(crate) delay: (u64, u64),
     pub(crate) policy: ChoicePolicy,
-    /// Share of runs whose upstream can't be reached.
+    /// Share of runs whose upstream is unreachable.
     pub(crate) unreachable: f64,
-    /// Whether gaps are measured and idle slots beside waiting work panic.
+    /// Whether to measure service gaps, and to panic on slots that idle while requests wait.
     pub(crate) checked: bool,
-    /// Whether gaps beyond the bound panic: for one pool, and hosts that hear of each other.
+    /// Whether to panic on service gaps beyond the bound; it holds for one pool and linked hosts.
     pub(crate) bounded_gap: bool,
 }
 
@@ -76,15 +75,14 @@
     pub(crate) run: Incarnation,
     pub(crate) core: SidecarCore,
     pub(crate) engine: Engine,
-    /// Whether it hears of service elsewhere.
-    pub(crate) relayed: bool,
-    told_relay: HashMap<AccountName, ServiceUnits>,
+    pub(crate) has_relay: bool,
+    reported_service: HashMap<AccountName, ServiceUnits>,
     free_since: Since,
-    /// The same for slots that are free or reserved.
+    /// As `free_since`, for slots that are free or reserved.
     unfilled_since: Since,
 }
 
-/// One connection, as it is and as both ends see it; zero for none.
+/// A connection and the connection number that each end holds; zero for none.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Link {
     pub(crate) id: u64,
@@ -92,7 +90,7 @@
     pub(crate) at_entry: u64,
     pub(crate) at_sidecar: u64,
     pub(crate) up_since: Duration,
-    /// When the last control message each way arrives: a stream keeps its order.
+    /// Arrival of the last control message each way; later ones must not overtake it.
     last: [Duration; 2],
 }
 
@@ -104,11 +102,11 @@
     pub(crate) sidecars: Vec<Sidecar>,
     pub(crate) links: Vec<Vec<Link>>,
     pub(crate) sources: Vec<Source>,
-    pub(crate) truth: Truth,
+    pub(crate) log: RequestLog,
     pub(crate) meter: FairnessMeter,
     pub(crate) traffic: Traffic,
     events: BTreeMap<(Duration, u64), Event>,
-    numbers: u64,
+    last_number: u64,
     totals: BTreeMap<AccountName, ServiceUnits>,
 }
 
@@ -127,16 +125,16 @@
             sidecars: Vec::new(),
             links: vec![vec![Link::default(); options.sidecars]; options.entries],
             sources,
-            truth: Truth::default(),
+            log: RequestLog::default(),
             meter,
             traffic: Traffic::default(),
             events: BTreeMap::new(),
-            numbers: 0,
+            last_number: 0,
             totals: BTreeMap::new(),
             options,
         };
         for e in 0..sim.options.entries {
-            let run = sim.number();
+            let run = sim.next_number();
             sim.entries.push(Entry::new(e, run));
         }
         for s in 0..sim.options.sidecars {
@@ -150,19 +148,19 @@
             sim.sources[source].seed(sim.options.seed, source);
             sim.schedule_arrival(source);
         }
-        sim.at(Duration::ZERO, Event::Tick(0));
+        sim.schedule(Duration::ZERO, Event::Tick(0));
         sim
     }
 
     pub(crate) fn pairs(&self) -> Vec<(usize, usize)> {
         let (entries, sidecars) = (self.options.entries, self.options.sidecars);
-        let of = |e| (0..sidecars).map(move |s| (e, s));
-        (0..entries).flat_map(of).collect()
+        let pairs_of = |e| (0..sidecars).map(move |s| (e, s));
+        (0..entries).flat_map(pairs_of).collect()
     }
 
-    pub(crate) fn number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+    pub(crate) fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     pub(crate) fn pool(&self, index: usize) -> PoolName {
@@ -171,7 +169,7 @@
     }
 
     pub(crate) fn new_sidecar(&mut self, s: usize) -> Sidecar {
-        let run = Incarnation(self.number());
+        let run = Incarnation(self.next_number());
         let host = HostName::new(format!("sidecar-{s}")).expect("a valid name");
         let mut core = SidecarCore::new(SidecarConfig {
             host: host.clone(),
@@ -190,14 +188,13 @@
             host,
             run,
             core,
-            relayed: true,
-            told_relay: HashMap::new(),
+            has_relay: true,
+            reported_service: HashMap::new(),
             free_since: None,
             unfilled_since: None,
         }
     }
 
-    /// Runs for a time.
     pub(crate) fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while let Some(next) = self.events.first_entry() {
@@ -211,7 +208,7 @@
         self.now = until;
     }
 
-    /// Share of the engines' slots that was used since the last call, `time` ago.
+    /// Share of the engines' slots in use since the last call, `time` ago.
     pub(crate) fn take_utilisation(&mut self, time: Duration) -> f64 {
         let now = self.now;
         let engines = self.sidecars.iter_mut().map(|s| &mut s.engine);
@@ -223,22 +220,22 @@
     }
 
     pub(crate) fn submit(&mut self, source: usize) {
-        let of = &mut self.sources[source];
-        let e = of.entries[of.sent % of.entries.len()];
-        of.sent += 1;
-        let (account, patience) = (of.account.clone(), of.patience);
-        let cost = of.draw_cost();
-        let (bookings, suspects) = (of.bookings, of.suspects);
+        let sender = &mut self.sources[source];
+        let e = sender.entries[sender.sent % sender.entries.len()];
+        sender.sent += 1;
+        let (account, timeout) = (sender.account.clone(), sender.timeout);
+        let cost = sender.draw_cost();
+        let (bookings, suspects) = (sender.bookings, sender.suspects);
         let booking = self.rng.random_bool(bookings);
         let suspect = self.rng.random_bool(suspects);
-        let request = self.truth.submit(self.now, source, cost, booking);
+        let request = self.log.submit(self.now, source, cost, booking);
         let waiting = QueuedRequest {
             request,
             attempt: 0,
             account,
             pool: self.pool(source),
             arrived: self.now,
-            deadline: self.now + patience,
+            deadline: self.now + timeout,
             estimate: ServiceUnits(cost),
             prefix: self.rng.random_range(0..20),
             repeatable: !booking,
@@ -257,7 +254,7 @@
     }
 
     fn tick(&mut self, count: u64) {
-        self.at(self.now + TICK, Event::Tick(count + 1));
+        self.schedule(self.now + TICK, Event::Tick(count + 1));
         if count.is_multiple_of(ANNOUNCE_EVERY) {
             self.announce();
         }
@@ -285,12 +282,12 @@
             self.run_sidecar(s);
         }
         if self.options.checked {
-            self.check_idle();
+            self.check_idle_slots();
         }
     }
 }
 
-/// The bound that the meter asserts. Windows look for the engines' slots and may overshoot twofold.
+/// The bound that the meter asserts. Concurrency windows may overshoot the engines' slots twofold.
 pub(crate) fn bound(options: &Options, sources: &[Source]) -> FairnessBound {
     let largest = sources.iter().map(|source| source.cost.1).max();
     FairnessBound {
--- a/crates/router/tests/late_binding/sim/rounds.rs
+++ b/crates/router/tests/late_binding/sim/periodic.rs
@@ -1,4 +1,4 @@
-//! What comes round and round: announcements, and the exchange of service.
+//! Periodic work: announcements, and the exchange of service totals.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::Sim;
 
-/// An announcement holds for this long.
+/// Validity of an announcement.
 const TTL: Duration = Duration::from_secs(2);
 
 impl Sim {
@@ -20,7 +20,7 @@
                 continue;
             }
             engine.announced = engine.pool.clone();
-            let news = UpstreamUpdate {
+            let update = UpstreamUpdate {
                 live_until: now + TTL,
                 leaving: engine.leaving.is_some(),
                 queued: engine.queue.len() as u32,
@@ -28,24 +28,25 @@
                 targets: WindowTargets::model(),
             };
             let upstreams = sidecar.core.upstreams_mut();
-            upstreams.apply_announcement(now, engine.name.clone(), engine.pool.clone(), news);
+            upstreams.apply_announcement(now, engine.name.clone(), engine.pool.clone(), update);
         }
     }
 
-    /// Collects service given and tells each sidecar the totals of the others, as of the last round.
+    /// Sends each sidecar the service totals of the others, as of the last round, and collects new
+    /// service.
     pub(super) fn relay(&mut self) {
-        for sidecar in self.sidecars.iter_mut().filter(|s| s.relayed) {
-            let own = &sidecar.told_relay;
+        for sidecar in self.sidecars.iter_mut().filter(|s| s.has_relay) {
+            let reported = &sidecar.reported_service;
             let elsewhere = self.totals.iter().map(|(account, total)| {
-                let own = own.get(account).copied().unwrap_or_default();
-                (account, ServiceUnits(total.0.saturating_sub(own.0)))
+                let reported = reported.get(account).copied().unwrap_or_default();
+                (account, ServiceUnits(total.0.saturating_sub(reported.0)))
             });
             sidecar.core.fair_ledger_mut().learn_elsewhere(elsewhere);
         }
-        for sidecar in self.sidecars.iter_mut().filter(|s| s.relayed) {
+        for sidecar in self.sidecars.iter_mut().filter(|s| s.has_relay) {
             for (account, units) in sidecar.core.fair_ledger_mut().take_unsent() {
                 *self.totals.entry(account.clone()).or_default() += units;
-                *sidecar.told_relay.entry(account).or_default() += units;
+                *sidecar.reported_service.entry(account).or_default() += units;
             }
         }
     }
--- a/crates/router/tests/late_binding/sim/truth.rs
+++ b/crates/router/tests/late_binding/sim/request_log.rs
@@ -1,18 +1,18 @@
-//! What really happened to each request, and what must never happen.
+//! Record of every request, with the invariants on its starts and end.
 
 use std::collections::HashSet;
 use std::time::Duration;
 
 use coltsfootnotch_wire::AttemptId;
 
-/// How a request ended for its caller.
+/// The outcome that a caller got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ended {
+pub(crate) enum Outcome {
     Done,
     NotRun,
     Unknown,
-    /// Its entry restarted, so that the caller's connection broke.
-    WithEntry,
+    /// Its entry restarted, which broke the caller's connection.
+    EntryLost,
 }
 
 #[derive(Debug)]
@@ -23,17 +23,17 @@
     pub(crate) arrived: Duration,
     pub(crate) first_start: Option<Duration>,
     pub(crate) starts: u32,
-    pub(crate) ended: Option<Ended>,
+    pub(crate) outcome: Option<Outcome>,
 }
 
-/// Every request ever submitted, by number.
+/// Every submitted request, by number.
 #[derive(Debug, Default)]
-pub(crate) struct Truth {
+pub(crate) struct RequestLog {
     pub(crate) records: Vec<Record>,
     started: HashSet<AttemptId>,
 }
 
-impl Truth {
+impl RequestLog {
     pub(crate) fn submit(&mut self, now: Duration, source: usize, cost: u64, booking: bool) -> u64 {
         self.records.push(Record {
             source,
@@ -42,52 +42,52 @@
             arrived: now,
             first_start: None,
             starts: 0,
-            ended: None,
+            outcome: None,
         });
         self.records.len() as u64 - 1
     }
 
     pub(crate) fn start(&mut self, now: Duration, attempt: AttemptId) {
-        assert!(self.started.insert(attempt), "{attempt} starts twice");
+        assert!(self.started.insert(attempt), "{attempt} is started twice");
         let record = &mut self.records[attempt.request as usize];
         assert_ne!(
-            record.ended,
-            Some(Ended::NotRun),
-            "{attempt} was said not to have run"
+            record.outcome,
+            Some(Outcome::NotRun),
+            "{attempt} starts after the caller was told that it did not run"
         );
         assert!(
             !record.booking || record.starts == 0,
-            "booking {attempt} starts again"
+            "booking {attempt} starts more than once"
         );
         record.starts += 1;
         record.first_start.get_or_insert(now);
     }
 
-    pub(crate) fn end(&mut self, request: u64, ended: Ended) {
+    pub(crate) fn end(&mut self, request: u64, outcome: Outcome) {
         let record = &mut self.records[request as usize];
-        assert_eq!(record.ended, None, "request {request} ends twice");
+        assert_eq!(record.outcome, None, "request {request} ends twice");
         assert!(
-            ended != Ended::NotRun || !record.booking || record.starts == 0,
-            "booking {request} ran and is said not to have run"
+            outcome != Outcome::NotRun || !record.booking || record.starts == 0,
+            "booking {request} ran but is reported as not run"
         );
-        record.ended = Some(ended);
+        record.outcome = Some(outcome);
     }
 
-    pub(crate) fn count(&self, ended: Ended) -> usize {
-        let these = self.records.iter().filter(|r| r.ended == Some(ended));
-        these.count()
+    pub(crate) fn count(&self, outcome: Outcome) -> usize {
+        let matching = self.records.iter().filter(|r| r.outcome == Some(outcome));
+        matching.count()
     }
 
-    /// Every request has ended.
+    /// Asserts that every request has ended.
     pub(crate) fn assert_none_lost(&self) {
-        let open = self.records.iter().position(|r| r.ended.is_none());
+        let open = self.records.iter().position(|r| r.outcome.is_none());
         assert_eq!(open, None, "a request was lost");
     }
 
-    /// Waits until the first start, in milliseconds and in order, of a source's requests.
+    /// Times from arrival to first start of a source's requests, in milliseconds, sorted.
     pub(crate) fn waits(&self, source: usize, since: Duration) -> Vec<u64> {
-        let of = |r: &&Record| r.source == source && r.arrived >= since;
-        let records = self.records.iter().filter(of);
+        let is_selected = |r: &&Record| r.source == source && r.arrived >= since;
+        let records = self.records.iter().filter(is_selected);
         let mut waits: Vec<u64> = records
             .filter_map(|r| Some((r.first_start? - r.arrived).as_millis() as u64))
             .collect();
--- a/crates/router/tests/late_binding/sim/source.rs
+++ b/crates/router/tests/late_binding/sim/source.rs
@@ -1,4 +1,4 @@
-//! Who sends requests.
+//! Load of the client accounts.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 pub(crate) struct Source {
     pub(crate) account: AccountName,
     pub(crate) weight: Weight,
-    /// Entries that its requests reach, in turn.
+    /// Entries that its requests are sent to, round robin.
     pub(crate) entries: Vec<usize>,
-    /// Requests kept waiting at all times.
+    /// Number of requests kept waiting.
     pub(crate) backlog: usize,
-    /// Requests a second beside the backlog, on average.
+    /// Mean rate of further requests, per second.
     pub(crate) rate: f64,
     /// Least and greatest cost, in tokens.
     pub(crate) cost: (u64, u64),
     /// Share of its requests that may not be repeated.
     pub(crate) bookings: f64,
-    /// Share of its requests that are suspected of a crash.
+    /// Share of its requests that are crash suspects.
     pub(crate) suspects: f64,
-    pub(crate) patience: Duration,
+    pub(crate) timeout: Duration,
     pub(crate) waiting: usize,
     pub(crate) sent: usize,
-    /// Draws its costs and arrivals, so that every policy meets the same load.
+    /// Draws costs and arrivals; it is separate, so that every policy gets the same load.
     rng: StdRng,
 }
 
@@ -41,7 +41,7 @@
             cost: (100, 400),
             bookings: 0.0,
             suspects: 0.0,
-            patience: Duration::from_secs(60),
+            timeout: Duration::from_secs(60),
             waiting: 0,
             sent: 0,
             rng: StdRng::seed_from_u64(0),
@@ -56,7 +56,7 @@
         self.rng.random_range(self.cost.0..=self.cost.1)
     }
 
-    /// Time until its next request beside the backlog.
+    /// Time until its next request that is not part of the backlog.
     pub(crate) fn draw_gap(&mut self) -> Option<Duration> {
         let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
         (self.rate > 0.0).then(|| Duration::from_secs_f64(-uniform.ln() / self.rate))
--- a/crates/router/tests/late_binding/sim/traffic.rs
+++ b/crates/router/tests/late_binding/sim/traffic.rs
@@ -1,8 +1,8 @@
-//! Control traffic of late binding.
+//! Counters of control traffic.
 
 use coltsfootnotch_wire::{FromSidecar, Message, ToSidecar, encode};
 
-/// Control messages and their bytes, as frames.
+/// Numbers of control messages and of their encoded bytes.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Traffic {
     pub(crate) measuring: bool,
