--- a/crates/router/src/sidecar/upstreams.rs
+++ b/crates/router/src/sidecar/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams beside a sidecar, and their slots.
+//! The upstreams beside a sidecar and their slots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,60 +8,60 @@
 use coltsfootnotch_decide::window::{ConcurrencyWindow, WindowTargets};
 use coltsfootnotch_types::prelude::*;
 
-/// What an announcement says of an upstream's slots.
+/// The part of an announcement that concerns an upstream's slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct News {
-    /// Until when the announcement holds.
+pub struct UpstreamUpdate {
+    /// When the announcement expires.
     pub live_until: Duration,
     /// Whether the upstream is leaving.
     pub leaving: bool,
-    /// Requests that wait inside it, as it reports.
+    /// Requests queued inside the upstream, as it reports.
     pub queued: u32,
-    /// When that was so.
+    /// When the report was made.
     pub reported: Duration,
-    /// Times its window aims at.
+    /// Target times of its concurrency window.
     pub targets: WindowTargets,
 }
 
-/// One upstream as its sidecar counts it.
+/// Slots and state of one upstream.
 #[derive(Debug)]
 pub struct UpstreamSlots {
     /// Its pool.
     pub pool: PoolName,
-    /// How many requests it is let hold at once.
+    /// Limit on its concurrent requests.
     pub window: ConcurrencyWindow,
-    /// How much of the window is used.
+    /// Its health, which scales the usable part of the window.
     pub health: UpstreamHealth,
-    /// How much of it the version that it serves has been given yet.
+    /// Rollout of the version that it serves, which scales the usable part of the window.
     pub version: VersionShift,
-    /// Keeps suspects of crashes apart.
-    pub apart: IsolationSlot,
-    /// How many slots are reserved for pulls.
+    /// Admits at most one crash suspect at a time.
+    pub isolation: IsolationSlot,
+    /// Number of slots reserved for pulls.
     pub reserved: u32,
-    /// Until when its last announcement holds.
+    /// When its last announcement expires.
     pub live_until: Duration,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Tells its slots from earlier ones under the same name.
+    /// Distinguishes its slots from earlier ones under the same name.
     pub generation: u64,
 }
 
 impl UpstreamSlots {
-    fn new(pool: PoolName, generation: u64, now: Duration, news: News) -> Self {
+    fn new(pool: PoolName, generation: u64, now: Duration, update: UpstreamUpdate) -> Self {
         Self {
             pool,
             generation,
-            window: ConcurrencyWindow::new(news.targets),
+            window: ConcurrencyWindow::new(update.targets),
             health: UpstreamHealth::new(now),
             version: VersionShift::new(1.0),
-            apart: IsolationSlot::new(),
+            isolation: IsolationSlot::new(),
             reserved: 0,
-            live_until: news.live_until,
-            leaving: news.leaving,
+            live_until: update.live_until,
+            leaving: update.leaving,
         }
     }
 
-    /// Slots that are used at all, free or not; none while it is leaving or silent.
+    /// Usable slots, free or not; zero while it is leaving or its announcement has expired.
     #[must_use]
     pub fn usable(&self, now: Duration) -> u32 {
         if self.leaving || self.live_until <= now {
@@ -71,40 +71,39 @@
         usable_slots(self.window.limit(), share)
     }
 
-    /// It serves another version from now on, which gets its work at a stated rate: a version that
-    /// is bad has by then been seen to be with little of the work.
-    pub fn change_version(&mut self, now: Duration) {
+    /// Starts the gradual rollout of another version that the upstream serves from now on, so that
+    /// a bad version fails few requests before it is noticed.
+    pub fn on_version_change(&mut self, now: Duration) {
         self.version = VersionShift::new(0.0);
         self.version.set_target(1.0, now);
     }
 
-    /// Slots that may be given out now.
+    /// Slots that may be used or reserved now.
     #[must_use]
     pub fn free(&self, now: Duration) -> u32 {
         let held = self.window.in_flight() + self.reserved;
         self.usable(now).saturating_sub(held)
     }
 
-    fn hear(&mut self, now: Duration, news: News) {
-        self.live_until = news.live_until;
-        if news.leaving && !self.leaving {
+    fn apply(&mut self, now: Duration, update: UpstreamUpdate) {
+        self.live_until = update.live_until;
+        if update.leaving && !self.leaving {
             self.health.on_event(HealthEvent::Leaving, now);
         }
-        if !news.leaving && self.leaving {
-            // It stays after all, or has loaded what its pool needs: its caches are cold, so it gets
-            // its work back by the ramp of an upstream that was down.
+        if !update.leaving && self.leaving {
+            // Its caches may be cold, so its work returns at the ramp of an upstream that was down.
             self.health = UpstreamHealth::new(now);
             self.health.on_event(HealthEvent::Down, now);
         }
-        self.leaving = news.leaving;
+        self.leaving = update.leaving;
         self.health.on_event(HealthEvent::Heartbeat, now);
-        // The first announcement may come before the first configuration, which states the targets.
-        self.window.set_targets(news.targets);
-        self.window.on_load_report(news.reported, news.queued);
+        // The first announcement may arrive before the configuration that sets the targets.
+        self.window.set_targets(update.targets);
+        self.window.on_load_report(update.reported, update.queued);
     }
 }
 
-/// Every upstream beside one sidecar.
+/// All upstreams beside one sidecar.
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     generations: u64,
@@ -112,45 +111,51 @@
 }
 
 impl UpstreamTable {
-    /// Takes in an announcement: a new upstream, or news of a known one.
+    /// Applies an announcement to a new or existing upstream.
     ///
-    /// An upstream that comes back under another pool starts over: its window was found for another
-    /// kind of work. Runs that it still has belong to the slots of before, by their generation:
-    /// counted off from the new ones, they would free slots that were never taken.
-    pub fn announce(&mut self, now: Duration, name: UpstreamName, pool: PoolName, news: News) {
-        let known = self.upstreams.get_mut(&name);
-        match known {
-            Some(slots) if slots.pool == pool => slots.hear(now, news),
+    /// An upstream that changes its pool starts with new slots, since its window was fitted to
+    /// other work. Its current runs belong to the previous generation of slots: counted on the new
+    /// ones, their ends free slots that were never taken.
+    pub fn apply_announcement(
+        &mut self,
+        now: Duration,
+        name: UpstreamName,
+        pool: PoolName,
+        update: UpstreamUpdate,
+    ) {
+        let existing = self.upstreams.get_mut(&name);
+        match existing {
+            Some(slots) if slots.pool == pool => slots.apply(now, update),
             _ => {
                 self.generations += 1;
-                let slots = UpstreamSlots::new(pool, self.generations, now, news);
+                let slots = UpstreamSlots::new(pool, self.generations, now, update);
                 self.upstreams.insert(name, slots);
             }
         }
     }
 
-    /// Lets windows and health move on with time.
+    /// Advances the concurrency windows to `now`.
     pub fn tick(&mut self, now: Duration) {
         for slots in self.upstreams.values_mut() {
             slots.window.on_tick(now);
         }
     }
 
-    /// Free slots of a pool.
+    /// Number of free slots of a pool.
     #[must_use]
     pub fn free(&self, now: Duration, pool: &PoolName) -> u32 {
         self.of_pool(pool).map(|(_, slots)| slots.free(now)).sum()
     }
 
-    /// Slots of a pool in all, free or not.
+    /// Number of usable slots of a pool, free or not.
     #[must_use]
     pub fn usable(&self, now: Duration, pool: &PoolName) -> u32 {
         self.of_pool(pool).map(|(_, slots)| slots.usable(now)).sum()
     }
 
-    /// The upstream of a pool with the most free slots.
+    /// The upstream of a pool with the most free slots; `None` if it has no free slot.
     #[must_use]
-    pub fn freest(&self, now: Duration, pool: &PoolName) -> Option<UpstreamName> {
+    pub fn with_most_free(&self, now: Duration, pool: &PoolName) -> Option<UpstreamName> {
         self.of_pool(pool)
             .map(|(name, slots)| (slots.free(now), name))
             .filter(|(free, _)| *free > 0)
@@ -158,7 +163,7 @@
             .map(|(_, name)| name.clone())
     }
 
-    /// The pools served, each with its live upstreams that are not leaving.
+    /// Number of live upstreams that are not leaving, by pool.
     #[must_use]
     pub fn pools(&self, now: Duration) -> BTreeMap<PoolName, u32> {
         let mut pools = BTreeMap::new();
@@ -169,12 +174,12 @@
         pools
     }
 
-    /// One upstream, to be changed.
+    /// One upstream, mutable.
     pub fn get_mut(&mut self, name: &UpstreamName) -> Option<&mut UpstreamSlots> {
         self.upstreams.get_mut(name)
     }
 
-    /// The slots that something was counted on, to be counted off; none when they are gone.
+    /// The slots of an upstream, if they are still of the given generation.
     pub(super) fn of_generation(
         &mut self,
         name: &UpstreamName,
@@ -195,8 +200,8 @@
         self.upstreams.iter()
     }
 
-    /// Forgets upstreams that are silent and hold nothing.
-    pub fn forget_silent(&mut self, now: Duration) {
+    /// Removes upstreams without a valid announcement, running request or reservation.
+    pub fn remove_expired(&mut self, now: Duration) {
         self.upstreams.retain(|_, slots| {
             slots.live_until > now || slots.window.in_flight() + slots.reserved > 0
         });
--- a/crates/router/tests/concurrency.rs
+++ b/crates/router/tests/concurrency.rs
@@ -1,9 +1,9 @@
-//! How many requests of an account run at once through one entry.
+//! Limits on concurrent requests of an account through one entry.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use coltsfootnotch_router::{EntryAction, EntryCore, Waiting};
+use coltsfootnotch_router::{EntryAction, EntryCore, QueuedRequest};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{FromSidecar, ToSidecar};
 use googletest::prelude::*;
@@ -22,8 +22,8 @@
     HostName::new("s1").unwrap()
 }
 
-fn request(request: u64, of: &str) -> Waiting {
-    Waiting {
+fn request(request: u64, of: &str) -> QueuedRequest {
+    QueuedRequest {
         request,
         attempt: 0,
         account: account(of),
@@ -37,13 +37,13 @@
     }
 }
 
-/// Requests begun, and what a sidecar was last told of the waiting ones of `bistro`.
+/// Started requests, and the last count of `bistro`'s waiting requests reported to a sidecar.
 fn outcome(core: &mut EntryCore) -> (Vec<u64>, Option<u32>) {
-    let mut begun = Vec::new();
-    let mut told = None;
+    let mut started = Vec::new();
+    let mut reported = None;
     for action in core.take_actions(NOW) {
         match action {
-            EntryAction::Begin { waiting, .. } => begun.push(waiting.request),
+            EntryAction::OpenAttempt { waiting, .. } => started.push(waiting.request),
             EntryAction::Send {
                 message: ToSidecar::Waits { changes, .. },
                 ..
@@ -51,23 +51,22 @@
                 let of_bistro = changes
                     .iter()
                     .find(|wait| wait.account == account("bistro"));
-                told = of_bistro.map(|wait| wait.count).or(told);
+                reported = of_bistro.map(|wait| wait.count).or(reported);
             }
             _ => {}
         }
     }
-    (begun, told)
+    (started, reported)
 }
 
-// An account may run one request at once through this entry, and sends three. One is offered; the
-// others wait although slots are free, and sidecars are told of none, or they would pull in vain.
-// When the first ends one more is told of, and a pull gets it. Another account is not held up.
+// An account with a limit of one sends three requests. The first is offered. The others are not
+// reported to sidecars, which could only pull in vain, until the first ends; then a pull gets one.
 #[gtest]
-fn an_account_runs_no_more_at_once_than_it_may() {
+fn an_account_stays_within_its_concurrency_limit() {
     let domain = DomainName::new("jhb-north").unwrap();
     let mut core = EntryCore::new(Incarnation(1), domain.clone());
     core.set_running_limits(HashMap::from([(account("bistro"), 1)]));
-    core.sidecar_up(sidecar(), Incarnation(2), domain);
+    core.on_sidecar_connected(sidecar(), Incarnation(2), domain);
     let free = FromSidecar::Free {
         pool: pool(),
         slots: 8,
@@ -79,7 +78,7 @@
         core.submit(request(number, "bistro"));
     }
     expect_that!(outcome(&mut core), eq(&(vec![1], None)));
-    core.ended(&account("bistro"));
+    core.on_attempt_ended(&account("bistro"));
     expect_that!(outcome(&mut core), eq(&(vec![], Some(1))));
     let accounts = vec![account("bistro")];
     core.on_message(
