--- a/crates/forward/src/awake.rs
+++ b/crates/forward/src/awake.rs
@@ -1,26 +1,22 @@
-//! Whether a host has just stood still.
+//! Detection of pauses of the process.
 //!
-//! **Pattern of load.** A host is frozen or suspended for seconds under load. Connections and requests
-//! pile up before it; when it wakes, it works through them in order, though their callers have long
-//! left: every caller who comes meanwhile waits behind work that nobody wants, and engines are given
-//! some of it.
+//! While a host is frozen or suspended, connections and requests pile up. When it resumes, their
+//! callers have left, and new callers wait behind work that nobody needs. A host whose regular tick
+//! is late by more than a second therefore refuses the requests that it reads until that backlog is
+//! gone.
 //!
-//! **The rule.** A host that finds that its own regular tick is late by more than a second refuses what
-//! it reads, until the pile is gone. That costs a fraction of serving it, and it is true that nothing
-//! ran.
-//!
-//! The time must be one that goes on while the host is suspended.
+//! The clock passed in must go on while the host is suspended.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Lateness of the tick that shows a stand-still. A busy host is late by some tens of milliseconds;
-/// callers give up requests that are not read for a second.
-const STOOD_STILL: Duration = Duration::from_millis(1_000);
-/// Time for which requests are refused after it: a pile of some thousand is refused within it.
+/// Lateness of the tick from which the process counts as paused. A busy host is late by some tens
+/// of milliseconds.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_000);
+/// How long requests are refused after a pause.
 const REFUSE_FOR: Duration = Duration::from_millis(400);
 
-/// Tells whether a host has just stood still; shared by the tasks that read requests.
+/// Detects pauses of the process; shared by the tasks that read requests.
 ///
 /// ```
 /// use std::time::Duration;
@@ -36,15 +32,15 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Awake {
-    ticked_ms: AtomicU64,
+    last_tick_ms: AtomicU64,
     refuse_until_ms: AtomicU64,
 }
 
 impl Awake {
-    /// The regular tick; whether the host has stood still since the last.
+    /// Records the regular tick. Returns whether the process was paused since the last one.
     pub fn tick(&self, now: Duration) -> bool {
-        let before = self.ticked_ms.swap(millis(now), Ordering::Relaxed);
-        let late = before > 0 && millis(now) > before + millis(STOOD_STILL);
+        let previous = self.last_tick_ms.swap(millis(now), Ordering::Relaxed);
+        let late = previous > 0 && millis(now) > previous + millis(PAUSE_THRESHOLD);
         if late {
             let until = millis(now + REFUSE_FOR);
             self.refuse_until_ms.store(until, Ordering::Relaxed);
@@ -52,11 +48,11 @@
         late
     }
 
-    /// Whether requests that are read now have waited through a stand-still.
+    /// Whether requests that are read now have waited through a pause.
     #[must_use]
     pub fn has_stood_still(&self, now: Duration) -> bool {
-        let ticked = self.ticked_ms.load(Ordering::Relaxed);
-        let is_late = ticked > 0 && millis(now) > ticked + millis(STOOD_STILL);
+        let last_tick = self.last_tick_ms.load(Ordering::Relaxed);
+        let is_late = last_tick > 0 && millis(now) > last_tick + millis(PAUSE_THRESHOLD);
         is_late || millis(now) < self.refuse_until_ms.load(Ordering::Relaxed)
     }
 }
--- a/crates/forward/src/book/announcement.rs
+++ b/crates/forward/src/book/announcement.rs
@@ -6,12 +6,12 @@
 
 use coltsfootnotch_wire::{UpstreamStage, UpstreamWord};
 
-/// Where an upstream is in its life.
+/// Stage of an upstream's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it holds and takes no more.
+    /// It finishes its running requests and accepts no more.
     Draining,
     /// It has left.
     Left,
@@ -20,23 +20,23 @@
 /// What an upstream says of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Announcement {
-    /// Its identity. A restarted one may have the identity that it had.
+    /// Its identity, which may be the same after a restart.
     pub id: Arc<str>,
-    /// Start of this run of it, in milliseconds of its own calendar clock; tells runs apart.
+    /// Start of this run in milliseconds of its own wall clock; distinguishes runs.
     pub born_ms: u64,
-    /// Number of the announcement within the run; a lower one is late.
+    /// Number of the announcement within the run; a lower one is out of date.
     pub sequence: u64,
-    /// The service that it belongs to.
+    /// Name of its service.
     pub service: Arc<str>,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Where it is in its life.
+    /// Its stage.
     pub stage: Stage,
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time after its start.
     pub warming: Duration,
 }
 
@@ -61,33 +61,33 @@
 }
 
 impl From<&Announcement> for UpstreamWord {
-    fn from(own: &Announcement) -> Self {
+    fn from(announcement: &Announcement) -> Self {
         Self {
-            id: own.id.to_string(),
-            born_ms: own.born_ms,
-            sequence: own.sequence,
-            service: own.service.to_string(),
-            address: own.address,
-            domain: own.domain.to_string(),
-            slots: own.slots,
-            stage: own.stage.into(),
-            warming_ms: u32::try_from(own.warming.as_millis()).unwrap_or(u32::MAX),
+            id: announcement.id.to_string(),
+            born_ms: announcement.born_ms,
+            sequence: announcement.sequence,
+            service: announcement.service.to_string(),
+            address: announcement.address,
+            domain: announcement.domain.to_string(),
+            slots: announcement.slots,
+            stage: announcement.stage.into(),
+            warming_ms: u32::try_from(announcement.warming.as_millis()).unwrap_or(u32::MAX),
         }
     }
 }
 
 impl From<UpstreamWord> for Announcement {
-    fn from(word: UpstreamWord) -> Self {
+    fn from(message: UpstreamWord) -> Self {
         Self {
-            id: word.id.into(),
-            born_ms: word.born_ms,
-            sequence: word.sequence,
-            service: word.service.into(),
-            address: word.address,
-            domain: word.domain.into(),
-            slots: word.slots,
-            stage: word.stage.into(),
-            warming: Duration::from_millis(word.warming_ms.into()),
+            id: message.id.into(),
+            born_ms: message.born_ms,
+            sequence: message.sequence,
+            service: message.service.into(),
+            address: message.address,
+            domain: message.domain.into(),
+            slots: message.slots,
+            stage: message.stage.into(),
+            warming: Duration::from_millis(message.warming_ms.into()),
         }
     }
 }
--- a/crates/forward/src/book/mod.rs
+++ b/crates/forward/src/book/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams, by what they announce.
+//! Registry of upstreams, built from their announcements.
 
 mod announcement;
 mod upstream;
--- a/crates/forward/src/book/upstream.rs
+++ b/crates/forward/src/book/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream in the book.
+//! An upstream in the registry.
 
 use std::time::Duration;
 
@@ -9,6 +9,6 @@
 pub struct Upstream {
     /// Its newest announcement.
     pub said: Announcement,
-    /// When that came.
+    /// When it was received.
     pub heard: Duration,
 }
--- a/crates/forward/src/book/upstream_book.rs
+++ b/crates/forward/src/book/upstream_book.rs
@@ -1,12 +1,13 @@
-//! Every upstream that announced itself, and what of it still holds.
+//! The registry of announced upstreams.
 //!
-//! Announcements are late, doubled, overtaken and forged. Three rules keep the book right:
+//! Announcements may be late, duplicated, reordered or forged. Three rules keep the registry
+//! correct:
 //!
-//! - Of one identity the later run holds, and within a run the higher sequence. An announcement that
-//!   a partition held up, of a run that has crashed since, changes nothing.
-//! - At one address only the run with the latest start holds: addresses are given to upstreams of
-//!   other services after a while, and work for the old service must not reach the new one.
-//! - Leaving is remembered, so that a late announcement does not bring the run back.
+//! - Of one identity the latest run counts, and within a run the highest sequence. A delayed
+//!   announcement of a run that has crashed changes nothing.
+//! - At one address only the run with the latest start counts: addresses are reused by upstreams of
+//!   other services, and requests for the old service must not reach the new one.
+//! - Departures are remembered, so that a late announcement does not bring the run back.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,25 +15,24 @@
 
 use super::{Announcement, Stage, Upstream};
 
-/// How long it is remembered that a run has left. Announcements have been seen seconds late; a
-/// minute covers a partition of that length.
-const REMEMBER_LEFT: Duration = Duration::from_secs(60);
+/// How long a departure is remembered; covers announcements held up by a partition for as long.
+const DEPARTURE_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long announcements may be late. Where leaving names no run, one that comes within this time is
-/// taken for a late one of the run that left.
-const LATE_WORDS: Duration = Duration::from_secs(5);
+/// Longest expected delay of an announcement. After a departure that names no run, announcements
+/// received within this time count as late ones of the departed run.
+const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_secs(5);
 
-/// Most upstreams kept. Six hundred are planned for; more than ten times that are made up.
+/// Most upstreams in the registry; bounds its memory against forged identities.
 const MAX_UPSTREAMS: usize = 8_192;
 
 /// What an announcement changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum News {
-    /// Nothing: it is late, or of a run that has ended.
+    /// Nothing: it is out of date, or of a run that has ended.
     Stale,
-    /// Only that the upstream lives.
+    /// Only the time of last contact.
     Alive,
-    /// The upstream is new, or says something else than before.
+    /// The upstream is new, or its announcement differs from the previous one.
     Changed,
 }
 
@@ -54,136 +54,136 @@
 /// };
 /// let mut book = UpstreamBook::default();
 /// assert_eq!(book.take(Duration::ZERO, said.clone()), News::Changed);
-/// assert_eq!(book.take(Duration::ZERO, said), News::Stale, "the same once more");
+/// assert_eq!(book.take(Duration::ZERO, said), News::Stale, "a duplicate");
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamBook {
     by_id: BTreeMap<Arc<str>, Upstream>,
-    left: BTreeMap<Arc<str>, Leaving>,
+    left: BTreeMap<Arc<str>, Departure>,
 }
 
-/// That an upstream has left.
+/// The departure of an upstream; without a start time if no run was named.
 #[derive(Debug, Clone, Copy)]
-struct Leaving {
+struct Departure {
     born_ms: Option<u64>,
     at: Duration,
 }
 
 impl UpstreamBook {
-    /// Takes an announcement in.
+    /// Applies an announcement.
     pub fn take(&mut self, now: Duration, said: Announcement) -> News {
-        if self.has_left(now, &said) {
+        if self.is_of_departed_run(now, &said) {
             return News::Stale;
         }
-        let known = self.by_id.get(&said.id);
-        if known.is_some_and(|k| !is_later(&said, &k.said)) {
+        let current = self.by_id.get(&said.id);
+        if current.is_some_and(|k| !is_later(&said, &k.said)) {
             return News::Stale;
         }
-        if known.is_none() && self.by_id.len() >= MAX_UPSTREAMS {
+        if current.is_none() && self.by_id.len() >= MAX_UPSTREAMS {
             return News::Stale;
         }
-        if self.has_later_at_address(&said) {
+        if self.has_later_run_at_address(&said) {
             return News::Stale;
         }
-        let news = match known {
-            Some(known) if same_but_for_number(&known.said, &said) => News::Alive,
+        let news = match current {
+            Some(current) if is_repeat(&current.said, &said) => News::Alive,
             _ => News::Changed,
         };
-        self.end_earlier_at_address(&said);
+        self.retire_earlier_at_address(&said);
         let upstream = Upstream { said, heard: now };
         self.by_id.insert(upstream.said.id.clone(), upstream);
         news
     }
 
-    /// The upstream with the identity still lives, by its announcement `sequence` of the run.
+    /// Records a keep-alive of the upstream, numbered `sequence` within its run.
     pub fn sign(&mut self, now: Duration, id: &str, born_ms: u64, sequence: u64) {
-        let Some(known) = self.by_id.get_mut(id) else {
+        let Some(current) = self.by_id.get_mut(id) else {
             return;
         };
-        let is_it = known.said.born_ms == born_ms && known.said.stage != Stage::Left;
-        if is_it && sequence > known.said.sequence {
-            known.said.sequence = sequence;
-            known.heard = now;
+        let is_it = current.said.born_ms == born_ms && current.said.stage != Stage::Left;
+        if is_it && sequence > current.said.sequence {
+            current.said.sequence = sequence;
+            current.heard = now;
         }
     }
 
-    /// The upstream leaves by its own word, also one that was never heard of: it may have announced
-    /// itself elsewhere. Whether that holds; it does not for an earlier run than the known.
+    /// Records that the upstream leaves, also if it is not in the registry: it may have announced
+    /// itself to another host. Returns false if an earlier run than the current one is named.
     pub fn leave(&mut self, now: Duration, id: &str, born_ms: Option<u64>) -> bool {
-        if let Some(known) = self.by_id.get_mut(id) {
-            if born_ms.is_some_and(|born| born < known.said.born_ms) {
+        if let Some(current) = self.by_id.get_mut(id) {
+            if born_ms.is_some_and(|born| born < current.said.born_ms) {
                 return false;
             }
-            known.said.stage = Stage::Left;
-            known.heard = now;
+            current.said.stage = Stage::Left;
+            current.heard = now;
         }
         if self.left.len() < MAX_UPSTREAMS {
-            self.left.insert(id.into(), Leaving { born_ms, at: now });
+            self.left.insert(id.into(), Departure { born_ms, at: now });
         }
         true
     }
 
-    /// Who has left by its own word, with the run where it was named.
+    /// Upstreams that announced that they leave, with the start of the run where it was named.
     pub fn left(&self) -> impl Iterator<Item = (&str, Option<u64>)> {
         self.left.iter().map(|(id, left)| (&**id, left.born_ms))
     }
 
-    /// Whether an announcement is of a run that has left.
-    fn has_left(&self, now: Duration, said: &Announcement) -> bool {
+    /// Whether an announcement belongs to a run that has left.
+    fn is_of_departed_run(&self, now: Duration, said: &Announcement) -> bool {
         let Some(left) = self.left.get(&said.id) else {
             return false;
         };
         match left.born_ms {
             Some(born) => said.born_ms <= born,
-            None => now.saturating_sub(left.at) < LATE_WORDS,
+            None => now.saturating_sub(left.at) < MAX_ANNOUNCEMENT_DELAY,
         }
     }
 
-    /// The upstream with the identity, whatever its stage.
+    /// The upstream with the identity, in any stage.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Upstream> {
         self.by_id.get(id)
     }
 
-    /// All upstreams, those that have left included.
+    /// All upstreams, including those that have left.
     pub fn all(&self) -> impl Iterator<Item = &Upstream> {
         self.by_id.values()
     }
 
-    /// The upstreams of `service` that take work.
+    /// The upstreams of `service` that accept requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Upstream> {
         let is_ready =
             move |u: &&Upstream| u.said.stage == Stage::Ready && &*u.said.service == service;
         self.by_id.values().filter(is_ready)
     }
 
-    /// Drops upstreams that were not heard of for `silence`, and runs that left long ago. Returns
-    /// those that fell silent.
+    /// Removes upstreams without contact for `silence`, and departures past their retention.
+    /// Returns the upstreams removed for silence.
     pub fn expire(&mut self, now: Duration, silence: Duration) -> Vec<Announcement> {
         self.left
-            .retain(|_, left| now.saturating_sub(left.at) < REMEMBER_LEFT);
+            .retain(|_, left| now.saturating_sub(left.at) < DEPARTURE_RETENTION);
         let mut silent = Vec::new();
         self.by_id.retain(|_, u| {
-            let quiet = now.saturating_sub(u.heard);
+            let idle = now.saturating_sub(u.heard);
             if u.said.stage == Stage::Left {
-                return quiet < REMEMBER_LEFT;
+                return idle < DEPARTURE_RETENTION;
             }
-            if quiet >= silence {
+            if idle >= silence {
                 silent.push(u.said.clone());
             }
-            quiet < silence
+            idle < silence
         });
         silent
     }
 
-    fn has_later_at_address(&self, said: &Announcement) -> bool {
-        let same_place = |u: &&Upstream| u.said.address == said.address && u.said.id != said.id;
-        let mut there = self.by_id.values().filter(same_place);
-        there.any(|u| u.said.born_ms > said.born_ms)
+    fn has_later_run_at_address(&self, said: &Announcement) -> bool {
+        let same_address = |u: &&Upstream| u.said.address == said.address && u.said.id != said.id;
+        let mut at_address = self.by_id.values().filter(same_address);
+        at_address.any(|u| u.said.born_ms > said.born_ms)
     }
 
-    fn end_earlier_at_address(&mut self, said: &Announcement) {
+    fn retire_earlier_at_address(&mut self, said: &Announcement) {
         for other in self.by_id.values_mut() {
             if other.said.address == said.address && other.said.id != said.id {
                 other.said.stage = Stage::Left;
@@ -192,22 +192,22 @@
     }
 }
 
-/// Whether `said` comes after `known` of the same identity. A run that left stays so.
-fn is_later(said: &Announcement, known: &Announcement) -> bool {
-    if said.born_ms != known.born_ms {
-        return said.born_ms > known.born_ms;
+/// Whether `announced` supersedes `current` of the same identity.
+fn is_later(said: &Announcement, current: &Announcement) -> bool {
+    if said.born_ms != current.born_ms {
+        return said.born_ms > current.born_ms;
     }
-    // Who is leaving never becomes ready again within the run; the word may overtake itself.
-    let advances = said.stage > known.stage;
-    let goes_back = said.stage < known.stage;
-    advances || (!goes_back && said.sequence > known.sequence)
+    // A run that is leaving never becomes ready again; announcements may be reordered.
+    let advances = said.stage > current.stage;
+    let goes_back = said.stage < current.stage;
+    advances || (!goes_back && said.sequence > current.sequence)
 }
 
-fn same_but_for_number(known: &Announcement, said: &Announcement) -> bool {
+fn is_repeat(current: &Announcement, said: &Announcement) -> bool {
     let renumbered = Announcement {
-        sequence: known.sequence,
-        warming: known.warming,
+        sequence: current.sequence,
+        warming: current.warming,
         ..said.clone()
     };
-    renumbered == *known
+    renumbered == *current
 }
--- a/crates/forward/src/config/draft.rs
+++ b/crates/forward/src/config/draft.rs
@@ -1,58 +1,58 @@
-//! A configuration as it was written, before its references are checked.
+//! A configuration as parsed, before its references are checked.
 
 use std::time::Duration;
 
 use super::{Account, Bounds, Kind, Service};
 
-/// A service named by a route.
+/// A service named by a route, with its weight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShareDraft {
     /// Its name.
     pub service: String,
-    /// Its share.
+    /// Its weight against the sum over the route.
     pub weight: u32,
 }
 
-/// A route as it was written.
+/// A route as parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteDraft {
     /// Its name.
     pub name: String,
-    /// Host that its requests name.
+    /// Host name of its requests.
     pub host: String,
-    /// Beginning of the path.
+    /// Path prefix.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: Kind,
-    /// Longest time without an answer.
+    /// Time limit for an answer.
     pub timeout: Duration,
-    /// Time that the operator aims at.
+    /// Target time to the answer or the first event.
     pub target: Option<Duration>,
-    /// Longest pause between events, for a stream.
+    /// Target for the longest pause between events of a stream.
     pub gap: Option<Duration>,
-    /// Rank, 0 the most urgent.
+    /// Priority, 0 the most urgent.
     pub priority: u32,
-    /// Most upstreams for one request.
+    /// Most attempts for one request, each at another upstream.
     pub max_attempts: u32,
-    /// Whether a request needs no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
     /// Its services.
     pub services: Vec<ShareDraft>,
 }
 
-/// A configuration as it was written.
+/// A configuration as parsed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigDraft {
-    /// Its number; the highest is in force.
+    /// Its number; the highest one is in force.
     pub number: u64,
     /// Routes.
     pub routes: Vec<RouteDraft>,
     /// Services.
     pub services: Vec<Service>,
-    /// Client accounts; without any, no request needs a key.
+    /// Client accounts; if empty, requests need no key.
     pub accounts: Vec<Account>,
-    /// Bounds for callers.
+    /// Limits for callers.
     pub bounds: Bounds,
-    /// Service units that all engines together give in a second, where the operator states it.
+    /// Service units per second of all engines together, if the operator states them.
     pub units_per_s: Option<f64>,
 }
--- a/crates/forward/src/config/forward_config.rs
+++ b/crates/forward/src/config/forward_config.rs
@@ -1,4 +1,4 @@
-//! A checked configuration, and the index by which requests are matched.
+//! A validated configuration and its route index.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,22 +6,22 @@
 
 use super::{Account, ConfigDraft, Problem, ProblemKind, Route, RouteDraft, Service, ServiceShare};
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size of a request and on the time to receive it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Request line and headers, in bytes.
+    /// Most bytes of request line and headers.
     pub header_bytes: usize,
-    /// Body, in bytes.
+    /// Most bytes of the body.
     pub body_bytes: usize,
-    /// Time for the headers to come.
+    /// Time limit for receiving the headers.
     pub header_timeout: Duration,
-    /// Time for which a connection may be idle.
+    /// Time limit for an idle connection.
     pub idle_timeout: Duration,
 }
 
 impl Bounds {
-    /// Time for which a connection is kept without a whole head of a request on it. One timer serves
-    /// both bounds: a caller may send nothing for the idle time and then take the other for its headers.
+    /// How long a connection is kept without a complete request head. One timer covers both limits:
+    /// a caller may be idle for the full idle time before it sends headers.
     #[must_use]
     pub fn read_timeout(&self) -> Duration {
         self.idle_timeout + self.header_timeout
@@ -29,8 +29,7 @@
 }
 
 impl Default for Bounds {
-    /// Headers of 16 KiB and bodies of 4 MiB hold every prompt that an engine of today takes; the
-    /// times are those of common HTTP servers.
+    /// 16 KiB of headers, 4 MiB of body, 3 s for the headers and 15 s of idle time.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -41,16 +40,16 @@
     }
 }
 
-/// A route that a request was matched to.
+/// The route that a request matches.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteMatch<'a> {
-    /// Its place in the configuration.
+    /// Its index in the configuration.
     pub index: usize,
     /// The route.
     pub route: &'a Route,
 }
 
-/// A checked configuration.
+/// A validated configuration.
 #[derive(Debug, Clone)]
 pub struct ForwardConfig {
     number: u64,
@@ -59,10 +58,10 @@
     accounts: Vec<Account>,
     bounds: Bounds,
     units_per_s: Option<f64>,
-    /// The shortest target of each service's streams; looked up for every request.
+    /// Shortest target of each service's streams, computed once.
     tightest: Vec<Option<Duration>>,
     shortest_gap: Vec<Option<Duration>>,
-    by_place: HashMap<Arc<str>, HashMap<Arc<str>, usize>>,
+    by_host: HashMap<Arc<str>, HashMap<Arc<str>, usize>>,
     by_key: HashMap<String, usize>,
 }
 
@@ -91,45 +90,45 @@
         &self.accounts
     }
 
-    /// Bounds for callers.
+    /// Limits for callers.
     #[must_use]
     pub fn bounds(&self) -> Bounds {
         self.bounds
     }
 
-    /// Service units that all engines together give in a second, where the operator states it.
+    /// Service units per second of all engines together, if the operator states them.
     #[must_use]
     pub fn units_per_s(&self) -> Option<f64> {
         self.units_per_s
     }
 
-    /// The shortest target of the streams of the service at this place.
+    /// The shortest target among the stream routes of the service with this index.
     #[must_use]
     pub fn tightest(&self, service: usize) -> Option<Duration> {
         self.tightest[service]
     }
 
-    /// The shortest pause between two events that a route of streams to the service, by its place,
-    /// aims at; none where no route states one.
+    /// The shortest target for pauses between events among the stream routes of the service with
+    /// this index; none where no route states one.
     #[must_use]
     pub fn shortest_gap(&self, service: usize) -> Option<Duration> {
         self.shortest_gap[service]
     }
 
-    /// Whether requests need a key, unless their route is public.
+    /// Whether requests to routes that are not public need a key.
     #[must_use]
     pub fn needs_keys(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// The route of `host` (without a port, in any case) with the longest prefix of `path`.
+    /// The route of `host` (without a port, case-insensitive) with the longest prefix of `path`.
     ///
-    /// Each slash of the path is looked up from the right, so the time depends on the path and not
-    /// on the number of routes.
+    /// Looks up each slash of the path from the right, so the time depends on the path and not on
+    /// the number of routes.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<RouteMatch<'_>> {
         let host = host.to_ascii_lowercase();
-        let prefixes = self.by_place.get(host.as_str())?;
+        let prefixes = self.by_host.get(host.as_str())?;
         let ends = path.char_indices().rev().filter(|(_, c)| *c == '/');
         let mut found = ends.filter_map(|(at, _)| prefixes.get(&path[..=at]));
         let index = *found.next()?;
@@ -167,11 +166,11 @@
         );
         let by_key = index_keys(&draft.accounts, &mut problems);
         let mut routes = Vec::with_capacity(draft.routes.len());
-        let mut by_place: HashMap<Arc<str>, HashMap<Arc<str>, usize>> = HashMap::new();
+        let mut by_host: HashMap<Arc<str>, HashMap<Arc<str>, usize>> = HashMap::new();
         for (index, route) in draft.routes.into_iter().enumerate() {
             let place = format!("routes[{index}]");
-            let route = checked(route, &place, &services, &mut problems);
-            let prefixes = by_place.entry(route.host.clone()).or_default();
+            let route = check_route(route, &place, &services, &mut problems);
+            let prefixes = by_host.entry(route.host.clone()).or_default();
             if let Some(first) = prefixes.insert(route.prefix.clone(), index) {
                 let first = format!("routes[{first}]");
                 problems.push(Problem::new(place, ProblemKind::SamePlace { first }));
@@ -182,9 +181,13 @@
             return Err(problems);
         }
         let all = 0..draft.services.len();
-        let tightest = all.clone().map(|s| least_of(&routes, s, |r| r.target));
+        let tightest = all
+            .clone()
+            .map(|s| shortest_of_streams(&routes, s, |r| r.target));
         let tightest = tightest.collect();
-        let shortest_gap = all.map(|s| least_of(&routes, s, |r| r.gap)).collect();
+        let shortest_gap = all
+            .map(|s| shortest_of_streams(&routes, s, |r| r.gap))
+            .collect();
         Ok(Self {
             number: draft.number,
             routes,
@@ -194,22 +197,22 @@
             units_per_s: draft.units_per_s,
             tightest,
             shortest_gap,
-            by_place,
+            by_host,
             by_key,
         })
     }
 }
 
-/// The least of what the routes of streams to a service state. Nothing could keep to zero, so it states
-/// nothing.
-fn least_of(
+/// The shortest time that the stream routes to a service state. Zero counts as not stated, since no
+/// stream can meet it.
+fn shortest_of_streams(
     routes: &[Route],
     service: usize,
     stated: impl Fn(&Route) -> Option<Duration>,
 ) -> Option<Duration> {
     let streams = routes.iter().filter(|route| {
-        let names_it = route.services.iter().any(|s| s.service == service);
-        names_it && route.kind.is_stream()
+        let has_service = route.services.iter().any(|s| s.service == service);
+        has_service && route.kind.is_stream()
     });
     let stated = streams.filter_map(stated);
     stated.filter(|time| !time.is_zero()).min()
@@ -235,9 +238,9 @@
     let mut by_key = HashMap::new();
     for (index, account) in accounts.iter().enumerate() {
         for key in &account.keys {
-            let earlier = by_key.insert(key.clone(), index);
-            // The same key twice in one account is harmless.
-            if let Some(first) = earlier.filter(|first| *first != index) {
+            let previous = by_key.insert(key.clone(), index);
+            // A duplicate key within one account is harmless.
+            if let Some(first) = previous.filter(|first| *first != index) {
                 let first = format!("accounts[{first}]");
                 let place = format!("accounts[{index}]");
                 problems.push(Problem::new(place, ProblemKind::SharedKey { first }));
@@ -247,7 +250,7 @@
     by_key
 }
 
-fn checked(
+fn check_route(
     draft: RouteDraft,
     place: &str,
     services: &HashMap<Arc<str>, usize>,
--- a/crates/forward/src/config/mod.rs
+++ b/crates/forward/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! Routes, services, client accounts and bounds: one configuration, checked whole.
+//! Routes, services, client accounts and limits, validated as a whole.
 //!
-//! A configuration comes as a [`ConfigDraft`], in which routes name their services. Only a draft
-//! without problems becomes a [`ForwardConfig`], in which they point at them; every problem is
-//! reported, with its place.
+//! A configuration is parsed into a [`ConfigDraft`], in which routes refer to services by name. A
+//! valid draft becomes a [`ForwardConfig`], in which they refer to them by index; otherwise every
+//! problem is reported with its location.
 
 mod account;
 mod draft;
--- a/crates/forward/src/config/problem.rs
+++ b/crates/forward/src/config/problem.rs
@@ -1,11 +1,11 @@
-//! What is wrong with a configuration, and where.
+//! Problems of a configuration and their locations.
 
 use derive_more::{Display, Error};
 
-/// What is wrong.
+/// The kind of a problem.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum ProblemKind {
-    /// A route names a service that the configuration lacks.
+    /// A route names a service that does not exist.
     #[display("names the unknown service {name:?}")]
     UnknownService {
         /// The name.
@@ -14,16 +14,16 @@
     /// Two routes have the same host and prefix.
     #[display("has the host and prefix of {first}")]
     SamePlace {
-        /// Place of the earlier route.
+        /// Location of the earlier route.
         first: String,
     },
     /// The weights of a route add up to 0.
     #[display("has weights that add up to 0")]
     NoWeight,
-    /// A timeout of 0.
+    /// A route has a timeout of 0.
     #[display("has a timeout of 0")]
     NoTimeout,
-    /// A prefix that does not go from slash to slash.
+    /// A prefix does not begin and end with a slash.
     #[display("has the prefix {prefix:?}, which does not begin and end with a slash")]
     BadPrefix {
         /// The prefix.
@@ -32,13 +32,13 @@
     /// Two accounts share a key.
     #[display("has a key of {first}")]
     SharedKey {
-        /// Place of the earlier account.
+        /// Location of the earlier account.
         first: String,
     },
-    /// Two services or accounts have one name.
+    /// Two services or accounts have the same name.
     #[display("has the name of {first}")]
     SameName {
-        /// Place of the earlier one.
+        /// Location of the earlier one.
         first: String,
     },
     /// A value is missing or of another type.
@@ -49,13 +49,13 @@
     },
 }
 
-/// One problem of a configuration.
+/// A problem of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{place}: {kind}")]
 pub struct Problem {
-    /// Where it is, as a path from the root.
+    /// Its location, as a path from the root.
     pub place: String,
-    /// What it is.
+    /// Its kind.
     pub kind: ProblemKind,
 }
 
--- a/crates/forward/src/config/route.rs
+++ b/crates/forward/src/config/route.rs
@@ -1,24 +1,24 @@
-//! Routes: what a request may be sent to, and how often.
+//! Routes and their services.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What may be repeated of a request.
+/// Whether requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Idempotent: it may run more than once.
+    /// Idempotent: may run more than once.
     Safe,
-    /// It runs at most once.
+    /// Not idempotent: runs at most once.
     Unsafe,
-    /// Its answer is a stream of events; runs at most once unless it can be resumed.
+    /// The answer is a stream of events; runs at most once unless it is resumable.
     Streaming {
-        /// Whether another upstream can go on after the last event that came.
+        /// Whether another upstream can continue after the last event received.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether a request may run a second time.
+    /// Whether a request may run more than once.
     ///
     /// ```
     /// use coltsfootnotch_forward::config::Kind;
@@ -37,12 +37,12 @@
     }
 }
 
-/// A service of a route, with its share of the route's requests.
+/// A service of a route and its weight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceShare {
-    /// Place of the service in [`super::ForwardConfig::services`].
+    /// Index of the service in [`super::ForwardConfig::services`].
     pub service: usize,
-    /// Its share, against the sum over the route.
+    /// Its weight against the sum over the route.
     pub weight: u32,
 }
 
@@ -51,37 +51,37 @@
 pub struct Route {
     /// Its name.
     pub name: Arc<str>,
-    /// Host that its requests name, in lower case.
+    /// Host name of its requests, in lower case.
     pub host: Arc<str>,
-    /// Beginning of the path, from slash to slash.
+    /// Path prefix, which begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: Kind,
-    /// Longest time that a request is kept without an answer.
+    /// Time limit for an answer.
     pub timeout: Duration,
-    /// Time to the answer, or the first event, that the operator aims at.
+    /// Target time to the answer or the first event.
     pub target: Option<Duration>,
-    /// Longest pause between events that the operator aims at, for a stream.
+    /// Target for the longest pause between events of a stream.
     pub gap: Option<Duration>,
-    /// Rank, 0 the most urgent.
+    /// Priority, 0 the most urgent.
     pub priority: u32,
-    /// Most upstreams that one request is sent to.
+    /// Most attempts for one request, each at another upstream.
     pub max_attempts: u32,
-    /// Whether a request needs no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
-    /// The services, with their shares.
+    /// Its services and their weights.
     pub services: Vec<ServiceShare>,
 }
 
 impl Route {
-    /// The service for a request, drawn by `point` in 0..1.
+    /// The index of the service for a request, chosen by weight with `point` in 0..1.
     ///
     /// # Panics
-    /// When the weights add up to 0, which a checked configuration rules out.
+    /// When the weights add up to 0, which a validated configuration rules out.
     #[must_use]
     pub fn draw(&self, point: f64) -> usize {
         let total: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
-        assert!(total > 0, "a checked route has a service with a weight");
+        assert!(total > 0, "a validated route has a positive weight");
         let mut left = (point.clamp(0.0, 1.0) * total as f64) as u64;
         for share in &self.services {
             if left < u64::from(share.weight) {
--- a/crates/forward/src/config/service.rs
+++ b/crates/forward/src/config/service.rs
@@ -1,13 +1,13 @@
-//! Services: the upstreams of one kind, known by one name.
+//! Services: groups of equivalent upstreams.
 
 use std::sync::Arc;
 
-/// What a model engine holds at once.
+/// Capacity of a model engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Tokens that running requests and cached prompts share.
+    /// Tokens of memory shared by running requests and cached prompts.
     pub memory_tokens: u64,
 }
 
@@ -16,8 +16,8 @@
 pub struct Service {
     /// Its name.
     pub name: Arc<str>,
-    /// Connections that one of its upstreams takes from all hosts together.
+    /// Most connections to one of its upstreams from all hosts together.
     pub max_connections: u32,
-    /// What each upstream holds, for a model engine; none for a plain service.
+    /// Capacity of each upstream if they are model engines.
     pub engine: Option<Engine>,
 }
--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/follow.rs
@@ -1,16 +1,15 @@
-//! Which control host a forwarding entry follows: it answers the entry's questions and adds up the
-//! reports of all entries that follow it.
+//! Choice of the control host that answers a forwarding entry and aggregates the reports of all
+//! entries.
 //!
-//! **Failure.** Entries that follow different control hosts hear of each other half a second late, and
-//! fill the same engines meanwhile.
-//!
-//! **Safeguard.** All follow the first by name that is connected and able to answer, whatever order
-//! connections came in. One that does not answer is left for the next by name.
+//! Entries with different control hosts see each other's load half a second late and overfill the
+//! same engines. All entries therefore use the first host by name that is connected and able to
+//! answer, whatever the order of connections. One that does not answer is replaced by the next by
+//! name.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The control hosts that are connected, and which of them is followed. `K` names a connection.
+/// The connected control hosts and the one in use. `K` identifies a connection.
 ///
 /// ```
 /// use coltsfootnotch_forward::follow::Following;
@@ -23,24 +22,24 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Following<K> {
-    able: BTreeMap<K, Arc<str>>,
+    links: BTreeMap<K, Arc<str>>,
     followed: Option<K>,
 }
 
 impl<K> Default for Following<K> {
     fn default() -> Self {
         Self {
-            able: BTreeMap::new(),
+            links: BTreeMap::new(),
             followed: None,
         }
     }
 }
 
 impl<K: Copy + Ord> Following<K> {
-    /// A control host is connected; whether another is followed now.
+    /// Adds the connection to a control host. Returns whether the host in use changed.
     pub fn up(&mut self, host: &str, link: K) -> bool {
-        self.able.insert(link, host.into());
-        let is_earlier = match self.followed.and_then(|link| self.able.get(&link)) {
+        self.links.insert(link, host.into());
+        let is_earlier = match self.followed.and_then(|link| self.links.get(&link)) {
             Some(followed) => host < &**followed,
             None => true,
         };
@@ -50,9 +49,10 @@
         is_earlier
     }
 
-    /// The connection is gone, or its host can answer nothing; whether another is followed now.
+    /// Removes a connection that was closed or whose host cannot answer. Returns whether the host
+    /// in use changed.
     pub fn drop_link(&mut self, link: K) -> bool {
-        self.able.remove(&link);
+        self.links.remove(&link);
         let was_followed = self.followed == Some(link);
         if was_followed {
             self.followed = self.first();
@@ -60,35 +60,35 @@
         was_followed
     }
 
-    /// The followed host does not answer: follows the next by name, and the first after the last.
+    /// The host in use did not answer: changes to the next by name, after the last to the first.
     pub fn unanswered(&mut self) {
-        let Some(silent) = self.followed else {
+        let Some(timed_out) = self.followed else {
             return;
         };
-        let name = |link: K| self.able.get(&link).map(|host| (&**host, link));
+        let name = |link: K| self.links.get(&link).map(|host| (&**host, link));
         let later = self
-            .able
+            .links
             .keys()
             .copied()
-            .filter(|k| name(*k) > name(silent));
+            .filter(|k| name(*k) > name(timed_out));
         let next = later.min_by_key(|k| name(*k));
         self.followed = next.or_else(|| self.first());
     }
 
-    /// The connection to the host that is followed.
+    /// The connection to the host in use.
     #[must_use]
     pub fn followed(&self) -> Option<K> {
         self.followed
     }
 
-    /// The connections to the other hosts that are able to answer.
+    /// The connections to the other hosts.
     pub fn others(&self) -> impl Iterator<Item = K> {
-        let able = self.able.keys().copied();
-        able.filter(|link| self.followed != Some(*link))
+        let links = self.links.keys().copied();
+        links.filter(|link| self.followed != Some(*link))
     }
 
     fn first(&self) -> Option<K> {
-        let first = self.able.iter().min_by_key(|(link, host)| (*host, *link));
+        let first = self.links.iter().min_by_key(|(link, host)| (*host, *link));
         first.map(|(link, _)| *link)
     }
 }
--- a/crates/forward/src/lease.rs
+++ b/crates/forward/src/lease.rs
@@ -1,18 +1,16 @@
-//! How long a host may go on by the configuration it holds.
+//! Lease of a forwarding configuration.
 //!
-//! **Failure.** A host is cut off from the control hosts while an operator takes a key away. Nothing
-//! reaches it, so it would serve that key for as long as the cut lasts.
+//! A host that is cut off from the control group does not learn that an operator revoked a key. It
+//! therefore asks again and again whether its configuration is the newest; a majority of the
+//! control group confirms it. A host whose confirmation is older than the lease refuses requests
+//! that need a key. The lease counts from when the query was sent, since the group may have
+//! accepted a newer configuration just after it answered.
 //!
-//! **Safeguard.** A host asks again and again whether its configuration is still the newest, and a
-//! majority of the control group confirms it. The confirmation counts from when the question was
-//! *sent*: the group may have accepted a newer one just after it answered. A host without a
-//! confirmation that is young enough refuses requests that need a key.
-//!
-//! The time must be one that goes on while the host is suspended, or the lease would outlive it.
+//! The clock passed in must go on while the host is suspended.
 
 use std::time::Duration;
 
-/// A host's right to go on by the configuration it holds.
+/// The lease by which a host serves its configuration.
 ///
 /// ```
 /// use std::time::Duration;
@@ -21,9 +19,9 @@
 /// let mut lease = ConfigLease::new(at(4000));
 /// lease.confirmed(at(100), 7);
 /// assert!(lease.holds(at(4000), 7));
-/// assert!(!lease.holds(at(4100), 7), "counted from the question");
-/// assert!(lease.holds(at(4000), 8), "a newer one than the confirmed is as good");
-/// assert!(!lease.holds(at(4000), 6), "an older one is known to be out of date");
+/// assert!(!lease.holds(at(4100), 7), "counted from the query");
+/// assert!(lease.holds(at(4000), 8), "newer than the confirmed one");
+/// assert!(!lease.holds(at(4000), 6), "older than the confirmed one");
 /// ```
 #[derive(Debug, Clone)]
 pub struct ConfigLease {
@@ -32,7 +30,7 @@
 }
 
 impl ConfigLease {
-    /// A lease that nobody has confirmed yet; each confirmation holds for `term`.
+    /// A lease without a confirmation; each confirmation is valid for `term`.
     #[must_use]
     pub fn new(term: Duration) -> Self {
         Self {
@@ -41,20 +39,21 @@
         }
     }
 
-    /// The control group confirmed that `number` was the newest at some time after `asked`.
-    pub fn confirmed(&mut self, asked: Duration, number: u64) {
-        let later = self.confirmed.is_none_or(|(at, _)| asked >= at);
-        if later {
-            self.confirmed = Some((asked, number));
+    /// Records the control group's confirmation, to a query sent at `requested_at`, that `number`
+    /// was the newest.
+    pub fn confirmed(&mut self, requested_at: Duration, number: u64) {
+        let is_latest = self.confirmed.is_none_or(|(at, _)| requested_at >= at);
+        if is_latest {
+            self.confirmed = Some((requested_at, number));
         }
     }
 
-    /// Whether a host that holds `number` may go on by it.
+    /// Whether a host with configuration `number` may serve it.
     #[must_use]
     pub fn holds(&self, now: Duration, number: u64) -> bool {
-        let Some((asked, newest)) = self.confirmed else {
+        let Some((requested_at, newest)) = self.confirmed else {
             return false;
         };
-        number >= newest && now < asked + self.term
+        number >= newest && now < requested_at + self.term
     }
 }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,20 +1,21 @@
 //! Decisions of a forwarding entry, without I/O.
 //!
-//! A forwarding entry takes requests of any HTTP service, finds their route, and sends them straight
-//! to an upstream. No sidecar stands beside the upstreams, so the entries share what they know of
-//! them: each tells the control hosts what it has sent where, and learns what the others have.
+//! A forwarding entry accepts requests of any HTTP service, finds their route, and sends them
+//! directly to an upstream. Upstreams have no sidecar, so the entries share their observations of
+//! them: each reports what it sent to the control hosts and receives the totals of the others.
 //!
 //! | module | decides |
 //! |---|---|
 //! | [`config`] | which route and client account a request belongs to, and whether a configuration is valid |
-//! | [`book`] | which upstreams there are, by what they announce |
-//! | [`follow`] | which control host is followed |
-//! | [`load`] | what all entries together have sent to each upstream, and how fast it works |
+//! | [`book`] | which upstreams exist, from their announcements |
+//! | [`follow`] | which control host is used |
+//! | [`lease`] | whether the configuration may still be served |
+//! | [`load`] | what all entries together have sent to each upstream, and how fast it is |
 //! | [`share`] | which client accounts use more than their fair share |
-//! | [`place`] | which upstream a request goes to, or that it is refused at once |
-//! | [`awake`] | whether requests have waited through a stand-still of the host |
-//! | [`overload`] | whether callers are better off at another host |
-//! | [`retry`] | whether a request is sent to a second upstream |
+//! | [`place`] | which upstream a request goes to, or that it is refused |
+//! | [`awake`] | whether requests have waited through a pause of the process |
+//! | [`overload`] | whether callers are sent to another host |
+//! | [`retry`] | whether a request is retried at another upstream |
 //!
 //! Time is passed in as [`std::time::Duration`] since the start of the process.
 
@@ -29,7 +30,7 @@
 pub mod retry;
 pub mod share;
 
-/// The types that users of this package nearly always need.
+/// The most commonly used types.
 pub mod prelude {
     pub use crate::book::{Announcement, Stage, Upstream, UpstreamBook};
     pub use crate::config::{Account, ConfigDraft, ForwardConfig, Kind, Route, Service};
--- a/crates/forward/src/load/backlog_limit.rs
+++ b/crates/forward/src/load/backlog_limit.rs
@@ -1,45 +1,40 @@
-//! How much may wait to be read at an engine before its streams stall.
+//! Adaptive limit on the prompt backlog of an engine.
 //!
-//! **Pattern of load.** Engines read prompts between the steps in which every stream gets its next token.
-//! Some read a small chunk in each step, and streams hardly notice; others read all that waits at once,
-//! and every stream beside it pauses for as long.
+//! Engines prefill prompts between the steps in which every stream gets its next token. Some
+//! prefill a small chunk in each step; others prefill all that waits at once, and every stream
+//! pauses for as long, which its callers take for a failure.
 //!
-//! **Without it** nothing is refused, first events come in a tenth of their target, and a third of the
-//! streams still fails its callers by one long pause in the middle.
-//!
-//! **The rule.** The limit starts at a part of the pause that callers bear. It grows while it is in the
-//! way and pauses stay short, and is cut when a pause comes near what callers bear: slowly near the limit
-//! of the last cut, faster the longer the cut is ago. An engine that bears more therefore gets more
-//! within some seconds, and one that turns slow gets less at once, whatever engine it is.
+//! The limit starts at a share of the tolerated pause. It grows while it blocks requests and pauses
+//! stay short, and is cut when a pause comes near the tolerated one: growth is slow after a cut and
+//! accelerates with the time since.
 
 use std::time::Duration;
 
-/// Limit at the start, as a share of the pause that callers bear: an engine that reads all that waits at
-/// once needs few cuts from here, and one that bears more refuses little until the limit has grown.
-const START: f64 = 0.7;
-/// The least, as a share of the same: an engine with nothing to read takes a request in any case.
-const LEAST: f64 = 0.1;
-/// The greatest. Beyond it a prompt waits for several seconds.
-const GREATEST: f64 = 10.0;
+/// Initial limit, as a share of the tolerated pause.
+const INITIAL_SHARE: f64 = 0.7;
+/// Least limit, as a share of the tolerated pause. An idle engine accepts a request in any case.
+const MIN_SHARE: f64 = 0.1;
+/// Greatest limit, as a share of the tolerated pause.
+const MAX_SHARE: f64 = 10.0;
 
-/// Share of the pause that callers bear from which the limit is cut. Pauses below what they bear are
-/// signs of the longer ones to come, and cost nobody anything.
-const TOO_LONG: f64 = 0.65;
-/// Multiple of the same beyond which a pause is no work of the engine's reading: it crashed, hangs, or is cut off.
-const NOT_READING: f64 = 4.0;
-/// What a cut leaves at most and at least.
-const CUT_TO: f64 = 0.7;
-const CUT_TO_LEAST: f64 = 0.5;
+/// Share of the tolerated pause from which the limit is cut, before pauses become too long.
+const CUT_THRESHOLD: f64 = 0.65;
+/// Multiple of the tolerated pause from which prefill is not the cause: the engine crashed, hangs,
+/// or is cut off.
+const OUTAGE_THRESHOLD: f64 = 4.0;
+/// Greatest and least factor of a cut.
+const MAX_CUT_FACTOR: f64 = 0.7;
+const MIN_CUT_FACTOR: f64 = 0.5;
 
-/// Growth a second before the first cut.
-const GROWTH_AT_FIRST: f64 = 0.5;
-/// Growth a second right after a cut, and what each second since the cut adds to it, squared.
-const GROWTH_AFTER_CUT: f64 = 0.01;
-const GROWTH_REGAINED: f64 = 0.004;
-/// Longest time for which one sign that the limit is in the way counts.
-const SIGN_LASTS: Duration = Duration::from_millis(300);
+/// Growth per second before the first cut, and the most after one.
+const INITIAL_GROWTH: f64 = 0.5;
+/// Growth per second right after a cut, and its increase with the square of the seconds since.
+const MIN_GROWTH: f64 = 0.01;
+const GROWTH_ACCELERATION: f64 = 0.004;
+/// Longest time that one observation of a blocked request counts for.
+const MAX_OBSERVATION: Duration = Duration::from_millis(300);
 
-/// How much may wait to be read at one engine.
+/// Limit on the prefill time that may wait at one engine.
 ///
 /// ```
 /// use std::time::Duration;
@@ -52,60 +47,63 @@
 /// ```
 #[derive(Debug, Clone, Copy)]
 pub struct BacklogLimit {
-    /// As a share of the pause that callers bear.
+    /// As a share of the tolerated pause.
     share: f64,
     cut_at: Option<Duration>,
-    in_the_way: Duration,
+    last_blocking: Duration,
 }
 
 impl Default for BacklogLimit {
     fn default() -> Self {
         Self {
-            share: START,
+            share: INITIAL_SHARE,
             cut_at: None,
-            in_the_way: Duration::ZERO,
+            last_blocking: Duration::ZERO,
         }
     }
 }
 
 impl BacklogLimit {
-    /// Time of reading that may wait where callers bear pauses of `borne`.
+    /// Prefill time that may wait where callers tolerate pauses of `tolerated`.
     #[must_use]
-    pub fn get(&self, borne: Duration) -> Duration {
-        borne.mul_f64(self.share)
+    pub fn get(&self, tolerated: Duration) -> Duration {
+        tolerated.mul_f64(self.share)
     }
 
-    /// A stream of the engine had no event for `pause`; its callers bear `borne`. Whether the limit was
-    /// cut for it.
-    pub fn observe_pause(&mut self, now: Duration, pause: Duration, borne: Duration) -> bool {
-        let share = pause.as_secs_f64() / borne.as_secs_f64().max(1e-3);
-        if !(TOO_LONG..NOT_READING).contains(&share) {
+    /// Records that a stream of the engine had no event for `pause`, of which callers tolerate
+    /// `tolerated`. Returns whether the limit was cut.
+    pub fn observe_pause(&mut self, now: Duration, pause: Duration, tolerated: Duration) -> bool {
+        let share = pause.as_secs_f64() / tolerated.as_secs_f64().max(1e-3);
+        if !(CUT_THRESHOLD..OUTAGE_THRESHOLD).contains(&share) {
             return false;
         }
-        // All streams of an engine pause together: one pause is one sign.
-        if self.cut_at.is_some_and(|at| now < at + pause.max(borne)) {
+        // All streams of an engine pause together: one pause counts once.
+        if self
+            .cut_at
+            .is_some_and(|at| now < at + pause.max(tolerated))
+        {
             return false;
         }
         self.cut_at = Some(now);
-        let left = (TOO_LONG / share).clamp(CUT_TO_LEAST, CUT_TO);
-        self.share = (self.share * left).max(LEAST);
+        let factor = (CUT_THRESHOLD / share).clamp(MIN_CUT_FACTOR, MAX_CUT_FACTOR);
+        self.share = (self.share * factor).max(MIN_SHARE);
         true
     }
 
-    /// The limit kept a request from the engine, or nearly did.
+    /// Records that the limit kept a request from the engine, or nearly did.
     pub fn note_in_the_way(&mut self, now: Duration) {
-        let time = now.saturating_sub(self.in_the_way).min(SIGN_LASTS);
-        self.in_the_way = now;
+        let time = now.saturating_sub(self.last_blocking).min(MAX_OBSERVATION);
+        self.last_blocking = now;
         let growth = self.growth(now) * time.as_secs_f64();
-        self.share = (self.share * (1.0 + growth)).min(GREATEST);
+        self.share = (self.share * (1.0 + growth)).min(MAX_SHARE);
     }
 
-    /// Growth a second.
+    /// Growth per second.
     fn growth(&self, now: Duration) -> f64 {
         let Some(cut_at) = self.cut_at else {
-            return GROWTH_AT_FIRST;
+            return INITIAL_GROWTH;
         };
         let since = now.saturating_sub(cut_at).as_secs_f64();
-        (GROWTH_AFTER_CUT + GROWTH_REGAINED * since * since).min(GROWTH_AT_FIRST)
+        (MIN_GROWTH + GROWTH_ACCELERATION * since * since).min(INITIAL_GROWTH)
     }
 }
--- a/crates/forward/src/load/fleet_load.rs
+++ b/crates/forward/src/load/fleet_load.rs
@@ -1,4 +1,4 @@
-//! The reports of all entries, added up at a control host.
+//! Aggregation of all entries' load reports at a control host.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::Hash;
@@ -6,11 +6,11 @@
 
 use coltsfootnotch_wire::{AccountUse, BreakWord, LoadWord, PartUse, UpstreamUse};
 
-/// Age at which what an entry last reported no longer counts: it has ended, or is cut off. Reports
-/// come each 100 ms, so many in a row were lost.
+/// Age from which an entry's last report no longer counts: it has ended or is cut off. Reports come
+/// every 100 ms in a small fleet.
 const STALE_AFTER: Duration = Duration::from_secs(2);
 
-/// What happened since a period began, kept per entry so that each is told only of the others.
+/// Events since the start of a period, per entry so that each receives only those of the others.
 #[derive(Debug, Clone, Default)]
 struct Period {
     upstreams: BTreeMap<String, UpstreamUse>,
@@ -22,15 +22,15 @@
 
 #[derive(Debug, Clone, Default)]
 struct Entry {
-    heard: Duration,
-    standing: Vec<UpstreamUse>,
+    last_seen: Duration,
+    in_flight: Vec<UpstreamUse>,
     period: Period,
 }
 
-/// The reports of all entries. `K` names a connection to an entry.
+/// The load reports of all entries. `K` identifies a connection to an entry.
 ///
-/// What stands (requests at an upstream) is taken from each entry's last report; what happened
-/// (service, failures) is added up until [`FleetLoad::next_period`].
+/// Requests at an upstream are taken from each entry's last report; counters (service, failures)
+/// are summed until [`FleetLoad::next_period`].
 #[derive(Debug, Clone)]
 pub struct FleetLoad<K> {
     entries: HashMap<K, Entry>,
@@ -45,27 +45,27 @@
 }
 
 impl<K: Eq + Hash> FleetLoad<K> {
-    /// Takes a report.
+    /// Records a report.
     pub fn take(&mut self, now: Duration, from: K, load: LoadWord) {
         let entry = self.entries.entry(from).or_default();
-        entry.heard = now;
+        entry.last_seen = now;
         entry.period.add(&load);
-        entry.standing = load.upstreams;
+        entry.in_flight = load.upstreams;
     }
 
-    /// The connection is gone.
+    /// Removes the entry of a closed connection.
     pub fn forget(&mut self, from: &K) {
         self.entries.remove(from);
     }
 
-    /// Entries that reported lately.
+    /// Number of entries with a recent report.
     #[must_use]
     pub fn entries(&self, now: Duration) -> u32 {
         let live = self.entries.values().filter(|e| is_live(now, e));
         u32::try_from(live.count()).unwrap_or(u32::MAX)
     }
 
-    /// What all entries together have and did in this period.
+    /// Totals of all entries in this period.
     #[must_use]
     pub fn totals(&self, now: Duration) -> Totals {
         let mut totals = Totals::default();
@@ -75,18 +75,17 @@
         totals
     }
 
-    /// What all entries but `receiver` have and did in this period. The totals are made once for all
-    /// receivers: adding up the others for each would grow with the square of the entries, and took a
-    /// control host of 300 entries and 2,700 engines all its time.
+    /// Totals of all entries but `receiver` in this period, given `totals` computed once for all
+    /// receivers: summing the others for each receiver is quadratic in the number of entries.
     #[must_use]
     pub fn without(&self, now: Duration, totals: &Totals, receiver: &K) -> LoadWord {
-        let own = self.entries.get(receiver).filter(|e| is_live(now, e));
+        let excluded = self.entries.get(receiver).filter(|e| is_live(now, e));
         let others = self.entries.iter().filter(|(key, _)| *key != receiver);
         let others: Vec<_> = others.map(|(_, e)| e).filter(|e| is_live(now, e)).collect();
         let parts = others.iter().flat_map(|e| &e.period.parts);
         let broken = others.iter().flat_map(|e| &e.period.broken);
         let mended = others.iter().flat_map(|e| &e.period.mended);
-        let (upstreams, accounts) = totals.less(own);
+        let (upstreams, accounts) = totals.subtract_entry(excluded);
         LoadWord {
             upstreams,
             accounts,
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Begins a new period, after every entry was told of the last.
+    /// Starts a new period, after the last one was sent to every entry.
     pub fn next_period(&mut self, now: Duration) {
         self.entries.retain(|_, e| is_live(now, e));
         for entry in self.entries.values_mut() {
@@ -106,10 +105,10 @@
 }
 
 fn is_live(now: Duration, entry: &Entry) -> bool {
-    now.saturating_sub(entry.heard) < STALE_AFTER
+    now.saturating_sub(entry.last_seen) < STALE_AFTER
 }
 
-/// What all entries together have and did in a period.
+/// Totals of all entries in a period.
 #[derive(Debug, Clone, Default)]
 pub struct Totals {
     upstreams: BTreeMap<String, UpstreamUse>,
@@ -119,69 +118,71 @@
 impl Totals {
     fn add(&mut self, entry: &Entry) {
         for used in entry.period.upstreams.values() {
-            add_seen(upstream_of(&mut self.upstreams, &used.id), used);
+            add_counters(upstream_entry(&mut self.upstreams, &used.id), used);
         }
         for used in entry.period.accounts.values() {
             add_account(&mut self.accounts, used);
         }
-        for used in &entry.standing {
-            let total = upstream_of(&mut self.upstreams, &used.id);
+        for used in &entry.in_flight {
+            let total = upstream_entry(&mut self.upstreams, &used.id);
             total.waiting_tokens += used.waiting_tokens;
             total.running += used.running;
             total.held_tokens += used.held_tokens;
         }
     }
 
-    /// The totals less one entry's own part, without what is nothing then.
-    fn less(&self, own: Option<&Entry>) -> (Vec<UpstreamUse>, Vec<AccountUse>) {
-        let mut part = Self::default();
-        own.into_iter().for_each(|entry| part.add(entry));
+    /// The totals without those of `excluded`, and without zero rows.
+    fn subtract_entry(&self, excluded: Option<&Entry>) -> (Vec<UpstreamUse>, Vec<AccountUse>) {
+        let mut excluded_totals = Self::default();
+        excluded
+            .into_iter()
+            .for_each(|entry| excluded_totals.add(entry));
         let upstreams = self.upstreams.values().map(|total| {
-            let own = part.upstreams.get(&total.id);
-            own.map_or_else(|| total.clone(), |own| less_use(total, own))
+            let excluded = excluded_totals.upstreams.get(&total.id);
+            excluded.map_or_else(|| total.clone(), |excluded| subtract(total, excluded))
         });
         let accounts = self.accounts.values().map(|total| {
-            let own = part.accounts.get(&total.account);
+            let excluded = excluded_totals.accounts.get(&total.account);
             AccountUse {
                 account: total.account.clone(),
-                asked: total.asked - own.map_or(0, |o| o.asked),
-                admitted: total.admitted - own.map_or(0, |o| o.admitted),
+                asked: total.asked - excluded.map_or(0, |o| o.asked),
+                admitted: total.admitted - excluded.map_or(0, |o| o.admitted),
             }
         });
-        let is_use = |used: &UpstreamUse| {
-            let nothing = UpstreamUse {
+        let is_used = |used: &UpstreamUse| {
+            let unused = UpstreamUse {
                 id: used.id.clone(),
                 ..UpstreamUse::default()
             };
-            *used != nothing
+            *used != unused
         };
         let accounts = accounts.filter(|a| a.asked > 0 || a.admitted > 0);
-        (upstreams.filter(is_use).collect(), accounts.collect())
+        (upstreams.filter(is_used).collect(), accounts.collect())
     }
 }
 
-fn less_use(total: &UpstreamUse, own: &UpstreamUse) -> UpstreamUse {
+fn subtract(total: &UpstreamUse, excluded: &UpstreamUse) -> UpstreamUse {
     UpstreamUse {
         id: total.id.clone(),
-        waiting_tokens: total.waiting_tokens - own.waiting_tokens,
-        running: total.running - own.running,
-        held_tokens: total.held_tokens - own.held_tokens,
-        took_ms: total.took_ms - own.took_ms,
-        expected_ms: total.expected_ms - own.expected_ms,
-        failed: total.failed - own.failed,
-        succeeded: total.succeeded - own.succeeded,
+        waiting_tokens: total.waiting_tokens - excluded.waiting_tokens,
+        running: total.running - excluded.running,
+        held_tokens: total.held_tokens - excluded.held_tokens,
+        took_ms: total.took_ms - excluded.took_ms,
+        expected_ms: total.expected_ms - excluded.expected_ms,
+        failed: total.failed - excluded.failed,
+        succeeded: total.succeeded - excluded.succeeded,
     }
 }
 
-fn upstream_of<'a>(all: &'a mut BTreeMap<String, UpstreamUse>, id: &str) -> &'a mut UpstreamUse {
-    let fresh = || UpstreamUse {
+fn upstream_entry<'a>(all: &'a mut BTreeMap<String, UpstreamUse>, id: &str) -> &'a mut UpstreamUse {
+    let empty = || UpstreamUse {
         id: id.to_owned(),
         ..UpstreamUse::default()
     };
-    all.entry(id.to_owned()).or_insert_with(fresh)
+    all.entry(id.to_owned()).or_insert_with(empty)
 }
 
-fn add_seen(total: &mut UpstreamUse, used: &UpstreamUse) {
+fn add_counters(total: &mut UpstreamUse, used: &UpstreamUse) {
     total.took_ms += used.took_ms;
     total.expected_ms += used.expected_ms;
     total.failed += used.failed;
@@ -189,12 +190,12 @@
 }
 
 fn add_account(all: &mut BTreeMap<String, AccountUse>, used: &AccountUse) {
-    let fresh = || AccountUse {
+    let empty = || AccountUse {
         account: used.account.clone(),
         asked: 0,
         admitted: 0,
     };
-    let total = all.entry(used.account.clone()).or_insert_with(fresh);
+    let total = all.entry(used.account.clone()).or_insert_with(empty);
     total.asked += used.asked;
     total.admitted += used.admitted;
 }
@@ -202,7 +203,7 @@
 impl Period {
     fn add(&mut self, load: &LoadWord) {
         for used in &load.upstreams {
-            add_seen(upstream_of(&mut self.upstreams, &used.id), used);
+            add_counters(upstream_entry(&mut self.upstreams, &used.id), used);
         }
         for used in &load.accounts {
             add_account(&mut self.accounts, used);
--- a/crates/forward/src/load/held.rs
+++ b/crates/forward/src/load/held.rs
@@ -1,17 +1,17 @@
-//! What an upstream has from one or many entries.
+//! Requests at an upstream, of one or all entries.
 
 use std::ops::AddAssign;
 
 use coltsfootnotch_wire::UpstreamUse;
 
-/// Requests at an upstream.
+/// Requests at an upstream that have not finished.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Held {
-    /// Prompt tokens sent whose answers have not begun.
+    /// Uncached prompt tokens of requests without a first event.
     pub waiting_tokens: u64,
-    /// Requests sent and not ended.
+    /// Requests that have not finished.
     pub running: u32,
-    /// Tokens that these hold in the upstream's memory, by estimate.
+    /// Estimated tokens of the upstream's memory that they occupy.
     pub held_tokens: u64,
 }
 
@@ -24,11 +24,11 @@
 }
 
 impl From<&UpstreamUse> for Held {
-    fn from(word: &UpstreamUse) -> Self {
+    fn from(usage: &UpstreamUse) -> Self {
         Self {
-            waiting_tokens: word.waiting_tokens,
-            running: word.running,
-            held_tokens: word.held_tokens,
+            waiting_tokens: usage.waiting_tokens,
+            running: usage.running,
+            held_tokens: usage.held_tokens,
         }
     }
 }
--- a/crates/forward/src/load/kept_parts.rs
+++ b/crates/forward/src/load/kept_parts.rs
@@ -1,82 +1,87 @@
-//! Which parts of prompts an engine keeps, by what was sent to it.
+//! Estimate of the prompt segments in an engine's prefix cache.
 //!
-//! An engine does not read a part again that it keeps, if it keeps all parts before it. What it keeps
-//! is known from what was sent: it keeps the parts used last, as many as its memory holds. Only parts
-//! that requests share are noted, since the last part of a prompt is its own.
+//! An engine skips the prefill of a segment that is cached along with all segments before it. The
+//! estimate is a least-recently-used cache of the segments sent to the engine, as large as its
+//! memory. Only segments shared by requests are recorded; the last one of a prompt is unique.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A part of a prompt.
+/// A segment of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// Identity of its text.
+    /// Identifier of its text.
     pub id: u64,
     /// Its size in tokens.
     pub tokens: u32,
 }
 
-/// A part that is kept.
+/// A cached segment.
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct CachedSegment {
     tokens: u32,
-    used: Duration,
+    last_used: Duration,
 }
 
-/// The shared parts that one engine keeps.
+/// The shared segments that one engine has cached.
 ///
 /// ```
 /// use std::time::Duration;
 /// use coltsfootnotch_forward::load::{KeptParts, Part};
 /// let (a, b) = (Part { id: 1, tokens: 100 }, Part { id: 2, tokens: 300 });
-/// let mut kept = KeptParts::default();
-/// kept.note(Duration::ZERO, b, 1_000);
-/// assert_eq!(kept.tokens_of(&[a, b]), 0, "the part before it is missing");
-/// kept.note(Duration::ZERO, a, 1_000);
-/// assert_eq!(kept.tokens_of(&[a, b]), 400);
+/// let mut cached = KeptParts::default();
+/// cached.note(Duration::ZERO, b, 1_000);
+/// assert_eq!(cached.tokens_of(&[a, b]), 0, "the segment before it is not cached");
+/// cached.note(Duration::ZERO, a, 1_000);
+/// assert_eq!(cached.tokens_of(&[a, b]), 400);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct KeptParts {
-    parts: HashMap<u64, Kept>,
+    segments: HashMap<u64, CachedSegment>,
     tokens: u64,
 }
 
 impl KeptParts {
-    /// Notes that a part was sent; parts used longest ago give way beyond `room` tokens. Whether the
-    /// part is new here.
-    pub fn note(&mut self, now: Duration, part: Part, room: u64) -> bool {
-        let kept = Kept {
-            tokens: part.tokens,
-            used: now,
+    /// Records that a segment was sent, and evicts the least recently used ones beyond `capacity`
+    /// tokens. Returns whether the segment was not cached before.
+    pub fn note(&mut self, now: Duration, segment: Part, capacity: u64) -> bool {
+        let cached = CachedSegment {
+            tokens: segment.tokens,
+            last_used: now,
         };
-        let earlier = self.parts.insert(part.id, kept);
-        self.tokens += u64::from(part.tokens);
-        self.tokens -= earlier.map_or(0, |e| u64::from(e.tokens));
-        while self.tokens > room && self.parts.len() > 1 {
-            self.drop_oldest();
+        let previous = self.segments.insert(segment.id, cached);
+        self.tokens += u64::from(segment.tokens);
+        self.tokens -= previous.map_or(0, |e| u64::from(e.tokens));
+        while self.tokens > capacity && self.segments.len() > 1 {
+            self.evict_oldest();
         }
-        earlier.is_none()
+        previous.is_none()
     }
 
-    /// Tokens of `parts`, in order, that need not be read again.
+    /// Tokens of the leading `segments` that are cached.
     #[must_use]
-    pub fn tokens_of(&self, parts: &[Part]) -> u64 {
-        let kept = parts.iter().take_while(|p| self.parts.contains_key(&p.id));
-        kept.map(|p| u64::from(p.tokens)).sum()
+    pub fn tokens_of(&self, segments: &[Part]) -> u64 {
+        let cached = segments
+            .iter()
+            .take_while(|p| self.segments.contains_key(&p.id));
+        cached.map(|p| u64::from(p.tokens)).sum()
     }
 
-    /// Whether the part is kept.
+    /// Whether the segment is cached.
     #[must_use]
     pub fn holds(&self, id: u64) -> bool {
-        self.parts.contains_key(&id)
+        self.segments.contains_key(&id)
     }
 
-    fn drop_oldest(&mut self) {
-        let oldest = self.parts.iter().min_by_key(|(id, kept)| (kept.used, **id));
+    fn evict_oldest(&mut self) {
+        let oldest = self
+            .segments
+            .iter()
+            .min_by_key(|(id, cached)| (cached.last_used, **id));
         let Some(id) = oldest.map(|(id, _)| *id) else {
             return;
         };
-        let gone = self.parts.remove(&id);
-        self.tokens -= gone.map_or(0, |g| u64::from(g.tokens));
+        let evicted = self.segments.remove(&id);
+        self.tokens -= evicted.map_or(0, |g| u64::from(g.tokens));
     }
 }
--- a/crates/forward/src/load/mod.rs
+++ b/crates/forward/src/load/mod.rs
@@ -1,11 +1,10 @@
-//! What all entries together have sent to each upstream, and how it does.
+//! Load and health of each upstream, over all entries.
 //!
-//! **Pattern of load.** Many entries send to the same few upstreams, and a model engine reads one
-//! prompt after the other. An entry that knows only its own requests sends to an engine that the
-//! others have just filled; a slow or failing upstream is found out by each of them anew.
-//!
-//! Each entry reports about ten times a second what it has where; control hosts add the reports up.
-//! What others have is therefore two ways and up to two reporting periods old (some 200 ms).
+//! Many entries send to the same few upstreams, and a model engine prefills prompts in order. An
+//! entry that knows only its own requests overfills engines that others have just filled, and finds
+//! slow or failing upstreams late. Each entry therefore reports its requests about ten times per
+//! second; control hosts sum the reports. The view of the others is up to two reporting periods and
+//! two transits old (some 200 ms).
 
 mod backlog_limit;
 mod fleet_load;
@@ -23,7 +22,7 @@
 pub use kept_parts::{KeptParts, Part};
 pub use period::reporting_period;
 pub use speed::Speed;
-pub(crate) use speed::fade;
+pub(crate) use speed::decay;
 pub use standing::Standing;
 pub use upstream_load::{Sent, UpstreamLoad};
 pub use upstream_loads::UpstreamLoads;
--- a/crates/forward/src/load/period.rs
+++ b/crates/forward/src/load/period.rs
@@ -1,17 +1,16 @@
-//! How often entries report, and are told of each other.
+//! Interval of load reports.
 
 use std::time::Duration;
 
-/// Between two reports of a small fleet. Shorter than the time in which an engine works off what may
-/// wait there, so that an entry does not fill what another just filled.
-const SHORTEST: Duration = Duration::from_millis(100);
+/// Interval in a small fleet; shorter than an engine takes to work off its backlog, so that entries
+/// do not overfill it.
+const MIN_PERIOD: Duration = Duration::from_millis(100);
 
-/// Added for each entry of a large fleet. A control host takes and sends one message an entry and
-/// period, each some 50 microseconds: with this it spends at most a twentieth of a core on them, however
-/// many entries there are.
+/// Interval per entry in a large fleet. A control host receives and sends one message per entry and
+/// period, some 50 microseconds each, so this keeps them below a twentieth of a core.
 const PER_ENTRY: Duration = Duration::from_millis(2);
 
-/// Between two reports of an entry, and between two rounds in which a control host tells them.
+/// Time between two reports of an entry, and between two broadcasts of a control host.
 ///
 /// ```
 /// use std::time::Duration;
@@ -21,5 +20,5 @@
 /// ```
 #[must_use]
 pub fn reporting_period(entries: u32) -> Duration {
-    SHORTEST.max(PER_ENTRY.saturating_mul(entries))
+    MIN_PERIOD.max(PER_ENTRY.saturating_mul(entries))
 }
--- a/crates/forward/src/load/standing.rs
+++ b/crates/forward/src/load/standing.rs
@@ -1,24 +1,23 @@
-//! Whether an upstream is to be trusted with work, by how its last requests ended.
+//! Health of an upstream, from the outcomes of its recent requests.
 //!
-//! **Pattern of load.** An upstream crashes, goes silent, or fails part of its requests while it says
-//! that it is well. A crashed one answers at once with a refused connection, so without a safeguard
-//! it looks like the fastest of all and draws the traffic of the whole fleet.
+//! An upstream may crash, hang, or fail some requests while it announces that it is ready. A
+//! crashed one refuses connections at once, so without this check it looks like the fastest and
+//! draws the traffic of the whole fleet.
 
 use std::time::Duration;
 
-use super::speed::fade;
+use super::speed::decay;
 
-/// First time without work after a connection that could not be had. Upstreams come back after some
-/// seconds; a try each half second by each entry costs one connection.
-const FIRST_REST: Duration = Duration::from_millis(400);
-/// Longest time without work: an upstream that is back is used again within it.
-const MAX_REST: Duration = Duration::from_millis(3_200);
-/// Time in which failures lose about two thirds of their weight.
-const MEMORY: Duration = Duration::from_secs(3);
+/// First backoff after a failed connection.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
+/// Longest backoff: a recovered upstream is used again within it.
+const MAX_BACKOFF: Duration = Duration::from_millis(3_200);
+/// Decay time of outcomes.
+const DECAY_TIME: Duration = Duration::from_secs(3);
 /// Successes that count as observed before any: one failure alone makes a rate of a sixth.
 const PRIOR_SUCCESSES: f64 = 5.0;
 
-/// How the last requests of an upstream ended.
+/// Outcomes of the recent requests of an upstream.
 ///
 /// ```
 /// use std::time::Duration;
@@ -30,43 +29,43 @@
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Standing {
-    rests_until: Duration,
-    unreachable: u32,
+    backoff_until: Duration,
+    unreachable_count: u32,
     failed: f64,
     succeeded: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl Standing {
-    /// No connection could be had, or an answer never began.
+    /// Records a failed connection, or an answer that never started.
     pub fn on_unreachable(&mut self, now: Duration) {
-        let rest = FIRST_REST * 2_u32.saturating_pow(self.unreachable.min(8));
-        self.unreachable += 1;
-        self.rests_until = self.rests_until.max(now + rest.min(MAX_REST));
+        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.unreachable_count.min(8));
+        self.unreachable_count += 1;
+        self.backoff_until = self.backoff_until.max(now + backoff.min(MAX_BACKOFF));
     }
 
-    /// Takes in how requests ended, here or at other entries.
+    /// Records outcomes of requests of this entry or of others.
     pub fn on_ended(&mut self, now: Duration, failed: u32, succeeded: u32) {
-        let left = fade(now.saturating_sub(self.at), MEMORY);
-        self.failed = self.failed * left + f64::from(failed);
-        self.succeeded = self.succeeded * left + f64::from(succeeded);
-        self.at = self.at.max(now);
+        let remaining = decay(now.saturating_sub(self.updated_at), DECAY_TIME);
+        self.failed = self.failed * remaining + f64::from(failed);
+        self.succeeded = self.succeeded * remaining + f64::from(succeeded);
+        self.updated_at = self.updated_at.max(now);
         if succeeded > 0 {
-            self.unreachable = 0;
+            self.unreachable_count = 0;
         }
     }
 
-    /// Share of requests that failed lately, from 0 to 1.
+    /// Share of recent requests that failed, from 0 to 1.
     #[must_use]
     pub fn failure_rate(&self, now: Duration) -> f64 {
-        let left = fade(now.saturating_sub(self.at), MEMORY);
-        let failed = self.failed * left;
-        failed / (failed + self.succeeded * left + PRIOR_SUCCESSES)
+        let remaining = decay(now.saturating_sub(self.updated_at), DECAY_TIME);
+        let failed = self.failed * remaining;
+        failed / (failed + self.succeeded * remaining + PRIOR_SUCCESSES)
     }
 
-    /// Whether it is given work now.
+    /// Whether requests may be sent to it.
     #[must_use]
     pub fn takes_work(&self, now: Duration) -> bool {
-        now >= self.rests_until
+        now >= self.backoff_until
     }
 }
--- a/crates/forward/src/load/upstream_load.rs
+++ b/crates/forward/src/load/upstream_load.rs
@@ -6,22 +6,22 @@
 
 use super::{BacklogLimit, Held, KeptParts, Speed, Standing};
 
-/// A request that was sent, as it counts until it ends.
+/// The load of a request that was sent, until it finishes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sent {
-    /// Prompt tokens that the upstream has to read for it.
+    /// Prompt tokens that the upstream has to prefill.
     pub unread_tokens: u64,
-    /// Tokens that it holds in the upstream's memory.
+    /// Tokens that it occupies in the upstream's memory.
     pub held_tokens: u64,
-    /// Time to the first event that was expected, in milliseconds, at factor 1.
+    /// Expected time to the first event in milliseconds, at factor 1.
     pub expected_ms: f64,
     /// When it was sent.
     pub at: Duration,
 }
 
-/// What this entry did and saw since its last report.
+/// Counters of this entry since its last report.
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct Counters {
     took_ms: f64,
     expected_ms: f64,
     failed: u32,
@@ -32,127 +32,128 @@
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLoad {
     own: Held,
-    others: Held,
+    remote: Held,
     speed: Speed,
     standing: Standing,
-    seen: Seen,
-    /// How much may wait to be read there.
+    since_report: Counters,
+    /// Limit on its prompt backlog.
     pub backlog: BacklogLimit,
-    /// The shared parts of prompts that it keeps.
+    /// Prompt segments in its prefix cache.
     pub kept: KeptParts,
 }
 
 impl UpstreamLoad {
-    /// What all entries have there.
+    /// Requests of all entries.
     #[must_use]
     pub fn held(&self) -> Held {
         let mut all = self.own;
-        all += self.others;
+        all += self.remote;
         all
     }
 
-    /// What this entry has there.
+    /// Requests of this entry.
     #[must_use]
     pub fn own(&self) -> Held {
         self.own
     }
 
-    /// How the last requests ended.
+    /// Outcomes of recent requests.
     #[must_use]
     pub fn standing(&self) -> &Standing {
         &self.standing
     }
 
-    /// By how much it is slower than expected.
+    /// Factor by which it is slower than expected; 1 is as expected.
     #[must_use]
     pub fn slowness(&self, now: Duration) -> f64 {
         self.speed.factor(now)
     }
 
-    /// A request is sent.
+    /// Records that a request was sent.
     pub fn on_sent(&mut self, sent: &Sent) {
         self.own.waiting_tokens += sent.unread_tokens;
         self.own.running += 1;
         self.own.held_tokens += sent.held_tokens;
     }
 
-    /// The first event of a request has come.
+    /// Records the first event of a request.
     pub fn on_begun(&mut self, now: Duration, sent: &Sent) {
-        self.no_longer_waits(sent);
+        self.leave_backlog(sent);
         let took_ms = now.saturating_sub(sent.at).as_secs_f64() * 1e3;
         self.speed.observe(now, took_ms, sent.expected_ms);
-        self.seen.took_ms += took_ms;
-        self.seen.expected_ms += sent.expected_ms;
+        self.since_report.took_ms += took_ms;
+        self.since_report.expected_ms += sent.expected_ms;
     }
 
-    fn no_longer_waits(&mut self, sent: &Sent) {
-        let left = self.own.waiting_tokens.checked_sub(sent.unread_tokens);
-        self.own.waiting_tokens = left.expect("a request stops waiting once");
+    fn leave_backlog(&mut self, sent: &Sent) {
+        let remaining = self.own.waiting_tokens.checked_sub(sent.unread_tokens);
+        self.own.waiting_tokens = remaining.expect("a request leaves the backlog once");
     }
 
-    /// A request is over, however it ended; `begun` tells whether its answer had begun.
-    pub fn on_over(&mut self, sent: &Sent, begun: bool) {
-        if !begun {
-            self.no_longer_waits(sent);
+    /// Records the end of a request, with any outcome; `has_started` tells whether its answer had
+    /// started.
+    pub fn on_over(&mut self, sent: &Sent, has_started: bool) {
+        if !has_started {
+            self.leave_backlog(sent);
         }
         let running = self.own.running.checked_sub(1);
         self.own.running = running.expect("a request ends once");
         let held = self.own.held_tokens.checked_sub(sent.held_tokens);
-        self.own.held_tokens = held.expect("a request frees what it held");
+        self.own.held_tokens = held.expect("a request frees its memory once");
     }
 
-    /// A request ended well.
+    /// Records a success.
     pub fn on_succeeded(&mut self, now: Duration) {
         self.standing.on_ended(now, 0, 1);
-        self.seen.succeeded += 1;
+        self.since_report.succeeded += 1;
     }
 
-    /// A request failed through the upstream's fault.
+    /// Records a failure caused by the upstream.
     pub fn on_failed(&mut self, now: Duration) {
         self.standing.on_ended(now, 1, 0);
-        self.seen.failed += 1;
+        self.since_report.failed += 1;
     }
 
-    /// No connection could be had, or an answer never began.
+    /// Records a failed connection, or an answer that never started.
     pub fn on_unreachable(&mut self, now: Duration) {
         self.standing.on_unreachable(now);
         self.on_failed(now);
     }
 
-    /// Takes in what the other entries have there and have seen.
-    pub fn take_others(&mut self, now: Duration, word: &UpstreamUse) {
-        self.others = Held::from(word);
-        if word.expected_ms > 0 {
+    /// Applies the totals of the other entries.
+    pub fn take_others(&mut self, now: Duration, report: &UpstreamUse) {
+        self.remote = Held::from(report);
+        if report.expected_ms > 0 {
             self.speed
-                .observe(now, word.took_ms as f64, word.expected_ms as f64);
+                .observe(now, report.took_ms as f64, report.expected_ms as f64);
         }
-        if word.failed > 0 || word.succeeded > 0 {
-            self.standing.on_ended(now, word.failed, word.succeeded);
+        if report.failed > 0 || report.succeeded > 0 {
+            self.standing.on_ended(now, report.failed, report.succeeded);
         }
     }
 
-    /// The other entries have nothing there.
+    /// Clears the requests of the other entries.
     pub fn clear_others(&mut self) {
-        self.others = Held::default();
+        self.remote = Held::default();
     }
 
-    /// What is to be reported; starts a new period.
+    /// The report of this period, if there is anything to report; starts a new one.
     pub fn report(&mut self, id: &str) -> Option<UpstreamUse> {
-        let seen = std::mem::take(&mut self.seen);
-        let word = UpstreamUse {
+        let since_report = std::mem::take(&mut self.since_report);
+        let report = UpstreamUse {
             id: id.to_owned(),
             waiting_tokens: self.own.waiting_tokens,
             running: self.own.running,
             held_tokens: self.own.held_tokens,
-            took_ms: seen.took_ms as u64,
-            expected_ms: seen.expected_ms as u64,
-            failed: seen.failed,
-            succeeded: seen.succeeded,
+            took_ms: since_report.took_ms as u64,
+            expected_ms: since_report.expected_ms as u64,
+            failed: since_report.failed,
+            succeeded: since_report.succeeded,
         };
         let idle = UpstreamUse {
             id: id.to_owned(),
             ..UpstreamUse::default()
         };
-        (word != idle).then_some(word)
+        (report != idle).then_some(report)
     }
 }
--- a/crates/forward/src/place/ask.rs
+++ b/crates/forward/src/place/ask.rs
@@ -1,70 +1,70 @@
-//! What is to be placed.
+//! A request to be placed.
 
 use std::time::Duration;
 
 use crate::load::Part;
 
-/// A prompt, as the caller describes it.
+/// A prompt as described by the caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// All its tokens.
     pub tokens: u64,
     /// Most tokens of the answer.
     pub output_tokens: u64,
-    /// Its parts in order, but for the last, which is the request's own.
+    /// Its segments in order, except the last, which is unique to the request.
     pub shared: Vec<Part>,
 }
 
 impl Prompt {
-    /// Service units of the request: tokens that can't be shared, read once, and tokens made, which
-    /// cost an engine about twice as much.
+    /// Service units of the request: prompt tokens that are not shared, plus twice the answer's
+    /// tokens, which cost an engine about twice as much.
     #[must_use]
     pub fn units(&self) -> u64 {
         let shared: u64 = self.shared.iter().map(|p| u64::from(p.tokens)).sum();
         self.tokens.saturating_sub(shared) + 2 * self.output_tokens
     }
 
-    /// How long the answer may take once it has begun.
+    /// Estimated longest time from the first event of the answer to its end.
     #[must_use]
     pub fn longest_run(&self) -> Duration {
         let tokens = u32::try_from(self.output_tokens).unwrap_or(u32::MAX);
-        TOKEN_TIME.saturating_mul(tokens)
+        TIME_PER_TOKEN.saturating_mul(tokens)
     }
 }
 
-/// Time for a token of an answer at an engine under load, by which it is judged whether an answer can
-/// still be given by a host that stops. Engines with some hundred streams make one each 20 to 25 ms.
-const TOKEN_TIME: Duration = Duration::from_millis(25);
+/// Time per answer token at a loaded engine, which takes 20 to 25 ms with some hundred streams.
+/// Decides whether a host that shuts down can still finish an answer.
+const TIME_PER_TOKEN: Duration = Duration::from_millis(25);
 
-/// How fast an engine of the service reads when nothing is wrong with it.
+/// Prefill performance of a healthy engine of the service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pace {
-    /// Prompt tokens a millisecond.
+    /// Prompt tokens per millisecond.
     pub tokens_per_ms: f64,
-    /// Time to the first event of a prompt that need not be read, in milliseconds.
+    /// Time to the first event of a fully cached prompt, in milliseconds.
     pub base_ms: f64,
 }
 
-/// A request that is to be placed.
+/// A request to be placed.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask<'a> {
     /// Its prompt.
     pub prompt: &'a Prompt,
-    /// What its account got against its fair share, while the fleet is short; see
+    /// Usage of its account relative to its fair share, while the fleet is saturated; see
     /// [`crate::share::FairShares::pressure`].
     pub pressure: Option<f64>,
-    /// Part of what its account asks that is its fair share; see
+    /// Fraction of its account's demand that is within its fair share; see
     /// [`crate::share::FairShares::fraction`].
     pub fraction: f64,
-    /// The shortest target of the service's routes: what waits at an engine must leave room for it.
+    /// The shortest target of the service's routes, which limits the wait at an engine.
     pub tightest: Duration,
-    /// The shortest pause that a route of the service aims at: what waits at an engine must not make its
-    /// streams pause for longer. None where no route states one.
+    /// The shortest target of the service's routes for pauses of a stream, which limits the backlog
+    /// of an engine. None where no route states one.
     pub gap: Option<Duration>,
     /// The failure domain of this entry.
     pub domain: &'a str,
-    /// Differs from request to request, and breaks ties.
+    /// Differs between requests; breaks ties.
     pub turn: u64,
-    /// Upstreams on which the request has failed.
+    /// Upstreams at which the request has failed.
     pub avoid: &'a [std::sync::Arc<str>],
 }
--- a/crates/forward/src/place/mod.rs
+++ b/crates/forward/src/place/mod.rs
@@ -1,20 +1,16 @@
-//! Which upstream a request goes to, or that it is refused at once.
+//! Placement of requests on upstreams, or their refusal.
 //!
-//! **Pattern of load.** Prompts of thousands of tokens, most of them in parts that requests share;
-//! many times the engines' memory in all; bursts beyond what the engines can read.
+//! Prompts of a model service have thousands of tokens, mostly in shared segments that exceed the
+//! memory of one engine many times, and come in bursts beyond the engines' capacity. Spread evenly,
+//! every engine prefills every shared segment, and a burst makes every request late.
 //!
-//! **Without it** each engine reads every shared part anew (more than half of all the work), one
-//! engine has a queue while another idles, and in a burst every request waits until nobody is served
-//! in time.
-//!
-//! **The rule.** A request goes where its first event is expected soonest: what waits there to be
-//! read, and what of its own prompt is not kept there, over the pace of the engine. So a subject
-//! stays where it is kept, and is read elsewhere as well once its home is that far behind. What would
-//! wait longer than a bound is refused at once: an engine takes requests in their order, so work
-//! beyond the bound makes everybody late and serves nobody more. The bound is what leaves room for the
-//! tightest target, or what the engine's streams bear without a pause
-//! ([`BacklogLimit`](crate::load::BacklogLimit)), whichever is less. It is deeper for accounts
-//! below their fair share than for those above it, which makes room for the former.
+//! A request goes to the engine with the earliest expected first event: its backlog plus the
+//! uncached part of the prompt, over its prefill rate. A subject thus stays where it is cached
+//! until that engine is too far behind. Engines process requests in order, so work beyond a bound
+//! makes all later requests late and is refused. The bound is the lesser of what leaves room for
+//! the shortest target and what the engine's streams tolerate
+//! ([`BacklogLimit`](crate::load::BacklogLimit)); it is higher for accounts below their fair share
+//! than for those above.
 
 mod admission;
 mod ask;
--- a/crates/forward/src/place/plain.rs
+++ b/crates/forward/src/place/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services, whose upstreams work on a few requests at once.
+//! Placement on upstreams of plain services, which process a few requests at once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,32 +8,31 @@
 use super::{Refusal, RefusalReason};
 use crate::load::Sent;
 
-/// Requests that may wait at an upstream, as a multiple of its slots. A plain call takes tens of
-/// milliseconds, so as many again as it works on wait about as long as a call takes.
+/// Most requests queued at an upstream, as a multiple of its slots.
 const QUEUE_PER_SLOT: u32 = 2;
 
-/// What a failure weighs, in requests ahead of this one.
-const FAILURE_REQUESTS: f64 = 20.0;
+/// Cost of a failure, in requests ahead in the queue.
+const FAILURE_COST_REQUESTS: f64 = 20.0;
 
-/// What another failure domain weighs, in requests ahead of this one.
-const FAR_REQUESTS: f64 = 0.5;
+/// Cost of another failure domain, in requests ahead in the queue.
+const CROSS_DOMAIN_REQUESTS: f64 = 0.5;
 
-/// By how much equal upstreams are told apart, in requests ahead: by less than one. Entries see each
-/// other's requests some 200 ms late; if all broke ties alike, they would all send to the same upstream
-/// meanwhile.
-const TURN_REQUESTS: f64 = 0.9;
+/// Range of the tie-breaker, in requests ahead in the queue: less than one. Entries see each
+/// other's requests some 200 ms late; with the same order at all of them they would all choose the
+/// same upstream.
+const TIE_BREAK_REQUESTS: f64 = 0.9;
 
-/// Time to a first event that is expected of a plain call, in milliseconds.
+/// Expected time to the first event of a plain call, in milliseconds.
 const EXPECTED_MS: f64 = 50.0;
 
-/// When trying again is of use: a queue of calls is gone by then.
+/// Retry delay; a queue is worked off in this time.
 const RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Finds the upstream of a plain service for a request: the one with the least ahead of it. `turn`
-/// differs from request to request and breaks ties.
+/// Chooses the upstream of a plain service with the fewest requests ahead in its queue. `turn`
+/// differs between requests and breaks ties.
 ///
 /// # Errors
-/// [`Refusal`] when every upstream has as much as it may hold.
+/// [`Refusal`] when every upstream is saturated.
 pub fn place_plain<'a>(
     now: Duration,
     domain: &str,
@@ -42,29 +41,29 @@
     candidates: impl IntoIterator<Item = Candidate<'a>>,
 ) -> Result<Placement, Refusal> {
     let mut best: Option<(f64, &Arc<str>)> = None;
-    let mut any = false;
+    let mut has_candidates = false;
     for candidate in candidates {
         let standing = candidate.load.standing();
         if avoid.contains(candidate.id) || !standing.takes_work(now) {
             continue;
         }
-        any = true;
+        has_candidates = true;
         let running = candidate.load.held().running;
         if running >= candidate.slots.max(1) * (1 + QUEUE_PER_SLOT) {
             continue;
         }
         let mut cost = f64::from(running) * candidate.load.slowness(now);
-        cost += standing.failure_rate(now) * FAILURE_REQUESTS;
-        cost += distance(turn, candidate.id) * TURN_REQUESTS;
+        cost += standing.failure_rate(now) * FAILURE_COST_REQUESTS;
+        cost += distance(turn, candidate.id) * TIE_BREAK_REQUESTS;
         if candidate.domain != domain {
-            cost += FAR_REQUESTS;
+            cost += CROSS_DOMAIN_REQUESTS;
         }
-        if best.is_none_or(|(least, _)| cost < least) {
+        if best.is_none_or(|(least_cost, _)| cost < least_cost) {
             best = Some((cost, candidate.id));
         }
     }
     let Some((_, id)) = best else {
-        let reason = if any {
+        let reason = if has_candidates {
             RefusalReason::Full
         } else {
             RefusalReason::NoUpstream
@@ -72,7 +71,7 @@
         return Err(Refusal {
             reason,
             retry_after: RETRY_AFTER,
-            is_crowded: any,
+            is_crowded: has_candidates,
         });
     };
     Ok(Placement {
--- a/crates/forward/src/place/refusal.rs
+++ b/crates/forward/src/place/refusal.rs
@@ -1,30 +1,30 @@
-//! Why a request is not placed.
+//! Refusals of requests.
 
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// Why a request is not placed.
+/// Reason for a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
 pub enum RefusalReason {
-    /// No upstream of the service is known to take work.
+    /// No upstream of the service accepts requests.
     #[display("no upstream")]
     NoUpstream,
-    /// Every upstream has as much as it can do in time.
+    /// Every upstream is saturated.
     #[display("all upstreams full")]
     Full,
-    /// As before, and the client account has more than its fair share.
+    /// As before, and the client account is above its fair share.
     #[display("account over its share")]
     OverShare,
 }
 
-/// A request is refused at once; it has not run.
+/// Refusal of a request, which has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// When trying again is of use.
+    /// Delay after which a retry may succeed.
     pub retry_after: Duration,
-    /// Whether every upstream compared has as much waiting as it may.
+    /// Whether every upstream compared is saturated.
     pub is_crowded: bool,
 }
--- a/crates/forward/src/place/target.rs
+++ b/crates/forward/src/place/target.rs
@@ -1,4 +1,4 @@
-//! Where a request may go, and where it goes.
+//! Candidates for a request, and its placement.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,23 +12,23 @@
     pub id: &'a Arc<str>,
     /// Its failure domain.
     pub domain: &'a str,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds, for an engine.
+    /// Size of its memory in tokens, for an engine.
     pub memory_tokens: u64,
-    /// What is known of its load.
+    /// Its load.
     pub load: &'a UpstreamLoad,
 }
 
-/// Where a request goes.
+/// The upstream chosen for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
-    /// The upstream.
+    /// Identity of the upstream.
     pub id: Arc<str>,
-    /// What it counts for there until it ends.
+    /// The request's load at the upstream until it finishes.
     pub sent: Sent,
-    /// How long it is expected to wait there before the engine reads it.
+    /// Expected wait before the engine prefills it.
     pub wait: Duration,
-    /// How long an account with its fair share may wait there.
+    /// Limit on the wait for an account within its fair share.
     pub bound: Duration,
 }
--- a/crates/forward/src/retry/mod.rs
+++ b/crates/forward/src/retry/mod.rs
@@ -1,10 +1,7 @@
-//! Whether a request is sent to a second upstream.
+//! Decides whether a request is retried at another upstream.
 //!
-//! **Pattern of load.** An upstream fails, or all of them do at once; a request crashes each upstream
-//! that runs it.
-//!
-//! **Without it** failures multiply the load just when there is least capacity, and one request that
-//! its caller sends again and again takes down every upstream in turn.
+//! When upstreams fail, unlimited retries multiply the load while capacity is lowest, and a request
+//! that crashes its upstream takes down one after the other if it is resent.
 
 mod broken_requests;
 mod second_sends;
--- a/crates/forward/src/share/fair_shares.rs
+++ b/crates/forward/src/share/fair_shares.rs
@@ -1,4 +1,4 @@
-//! What each account asked for and got, here and at the other entries.
+//! Demand and admitted service units of each account, over all entries.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,37 +6,35 @@
 
 use coltsfootnotch_wire::{AccountUse, LoadWord};
 
-use crate::load::fade;
+use crate::load::decay;
 
-/// Time in which use loses about two thirds of its weight. Half of the window of some seconds over
-/// which operators judge shares, so that an account's share follows its demand within the window and
-/// a single large request does not push it over.
-pub(crate) const MEMORY: Duration = Duration::from_millis(2_000);
+/// Decay time of usage; half of the window over which operators measure shares.
+pub(crate) const DECAY_TIME: Duration = Duration::from_millis(2_000);
 
-/// Share of what was asked that must have been refused before there is a level at all. Below it the
-/// refusals are those of single full upstreams, not of a fleet that is short.
-const SHORTAGE: f64 = 0.03;
+/// Refused share of the demand from which the fleet counts as saturated. Below it the refusals come
+/// from single saturated upstreams.
+const MIN_REFUSED_SHARE: f64 = 0.03;
 
-/// Share of the operator's figure that counts as done even if less was. After an outage nothing was, and
-/// a level of nothing would let nothing in; an engine that can't do it says so by what waits there.
-const SURELY_DONE: f64 = 0.5;
+/// Share of the stated capacity that counts as served even if less was. After an outage nothing was
+/// served, and a level of zero admits nothing.
+const MIN_SERVED_SHARE: f64 = 0.5;
 
-/// Between two computations of the level.
-const LEVEL_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which the level is computed.
+const LEVEL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Least use that is kept in mind, in service units.
-const FORGET_BELOW: f64 = 1.0;
+/// Least usage that is recorded, in service units.
+const MIN_UNITS: f64 = 1.0;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Use {
-    asked: f64,
+    demand: f64,
     admitted: f64,
-    /// Of this entry alone, since the last report.
-    own_asked: u64,
-    own_admitted: u64,
+    /// Of this entry alone, since its last report.
+    unreported_demand: u64,
+    unreported_admitted: u64,
 }
 
-/// What each account asked for and got lately, over the whole fleet.
+/// Recent demand and admitted service units of each account, over the whole fleet.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -55,82 +53,83 @@
 #[derive(Debug, Clone, Default)]
 pub struct FairShares {
     by_account: BTreeMap<Arc<str>, Use>,
-    /// What was asked at this entry, of all accounts.
-    asked_here: f64,
-    faded_at: Duration,
-    /// What the engines can do within [`MEMORY`], by the operator's figure.
-    stated: f64,
+    /// Demand of all accounts at this entry.
+    local_demand: f64,
+    decayed_at: Duration,
+    /// Capacity stated by the operator, in service units per [`DECAY_TIME`].
+    stated_capacity: f64,
     level: Option<f64>,
     level_due: Duration,
 }
 
 impl FairShares {
-    /// A request of `units` asks to be served.
+    /// Records the demand of a request of `units` service units.
     pub fn ask(&mut self, now: Duration, account: &Arc<str>, units: u64) {
-        self.fade(now);
+        self.decay(now);
         let used = self.by_account.entry(account.clone()).or_default();
-        used.asked += units as f64;
-        used.own_asked += units;
-        self.asked_here += units as f64;
+        used.demand += units as f64;
+        used.unreported_demand += units;
+        self.local_demand += units as f64;
     }
 
-    /// A request of `units` is sent to an upstream.
+    /// Records that a request of `units` service units is sent to an upstream.
     pub fn admit(&mut self, now: Duration, account: &Arc<str>, units: u64) {
-        self.fade(now);
+        self.decay(now);
         let used = self.by_account.entry(account.clone()).or_default();
         used.admitted += units as f64;
-        used.own_admitted += units;
+        used.unreported_admitted += units;
     }
 
-    /// Takes in what happened at the other entries.
-    pub fn take_others(&mut self, now: Duration, word: &LoadWord) {
-        self.fade(now);
-        for other in &word.accounts {
+    /// Applies the usage at the other entries.
+    pub fn take_others(&mut self, now: Duration, report: &LoadWord) {
+        self.decay(now);
+        for other in &report.accounts {
             let used = self.by_account.entry(other.account.as_str().into());
             let used = used.or_default();
-            used.asked += other.asked as f64;
+            used.demand += other.asked as f64;
             used.admitted += other.admitted as f64;
         }
     }
 
-    /// The operator states what all engines together can do, in units a second.
+    /// Sets the capacity of all engines together that the operator states, in service units per
+    /// second.
     pub fn state_capacity(&mut self, units_per_s: f64) {
-        self.stated = units_per_s * MEMORY.as_secs_f64();
+        self.stated_capacity = units_per_s * DECAY_TIME.as_secs_f64();
     }
 
-    /// Part of what all entries are asked that this one is.
+    /// This entry's share of the demand at all entries.
     pub fn part_here(&mut self, now: Duration) -> f64 {
-        self.fade(now);
-        let asked: f64 = self.by_account.values().map(|u| u.asked).sum();
-        self.asked_here / asked.max(FORGET_BELOW)
+        self.decay(now);
+        let total_demand: f64 = self.by_account.values().map(|u| u.demand).sum();
+        self.local_demand / total_demand.max(MIN_UNITS)
     }
 
-    /// What happened here since the last report.
+    /// Usage at this entry since its last report.
     pub fn report(&mut self) -> Vec<AccountUse> {
-        let mut words = Vec::new();
+        let mut reports = Vec::new();
         for (account, used) in &mut self.by_account {
-            let word = AccountUse {
+            let report = AccountUse {
                 account: account.to_string(),
-                asked: std::mem::take(&mut used.own_asked),
-                admitted: std::mem::take(&mut used.own_admitted),
+                asked: std::mem::take(&mut used.unreported_demand),
+                admitted: std::mem::take(&mut used.unreported_admitted),
             };
-            if word.asked > 0 || word.admitted > 0 {
-                words.push(word);
+            if report.asked > 0 || report.admitted > 0 {
+                reports.push(report);
             }
         }
-        words
+        reports
     }
 
-    /// What the account got against the level: above 1 it has more than its fair share. None while the
-    /// fleet is not short.
+    /// The account's admitted units relative to the level: above 1 it has more than its fair share.
+    /// None while the fleet is not saturated.
     pub fn pressure(&mut self, now: Duration, account: &str) -> Option<f64> {
         let level = self.level(now)?;
         let admitted = self.by_account.get(account).map_or(0.0, |u| u.admitted);
-        Some(admitted / level.max(FORGET_BELOW))
+        Some(admitted / level.max(MIN_UNITS))
     }
 
-    /// Part of what the account asks for that is its fair share: 1 for one that asks no more, and while
-    /// the fleet is not short or nobody stated what the engines can do.
+    /// Fraction of the account's demand that is within its fair share: 1 for an account at or below
+    /// it, and while the fleet is not saturated or its capacity is not stated.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -145,38 +144,38 @@
     /// assert_eq!(shares.fraction(now, &flood), 0.25);
     /// ```
     pub fn fraction(&mut self, now: Duration, account: &str) -> f64 {
-        if self.stated <= 0.0 {
+        if self.stated_capacity <= 0.0 {
             return 1.0;
         }
         let level = self.level(now);
         let used = self.by_account.get(account);
         match (level, used) {
-            (Some(level), Some(used)) => (level / used.asked.max(FORGET_BELOW)).min(1.0),
+            (Some(level), Some(used)) => (level / used.demand.max(MIN_UNITS)).min(1.0),
             _ => 1.0,
         }
     }
 
-    /// The level now; computed anew now and then.
+    /// The level, computed at intervals.
     fn level(&mut self, now: Duration) -> Option<f64> {
-        self.fade(now);
+        self.decay(now);
         if now >= self.level_due {
-            self.level_due = now + LEVEL_EVERY;
-            self.level = self.find_level();
+            self.level_due = now + LEVEL_INTERVAL;
+            self.level = self.compute_level();
         }
         self.level
     }
 
-    /// The level at which giving each account the lesser of it and what the account asks gives away
-    /// all that was served. None while the fleet is not short.
-    fn find_level(&self) -> Option<f64> {
-        let asked: f64 = self.by_account.values().map(|u| u.asked).sum();
+    /// Max-min fair level: if each account gets the lesser of it and its demand, the sum is what
+    /// was served. None while the fleet is not saturated.
+    fn compute_level(&self) -> Option<f64> {
+        let total_demand: f64 = self.by_account.values().map(|u| u.demand).sum();
         let admitted: f64 = self.by_account.values().map(|u| u.admitted).sum();
-        if admitted >= asked * (1.0 - SHORTAGE) {
+        if admitted >= total_demand * (1.0 - MIN_REFUSED_SHARE) {
             return None;
         }
-        let mut demands: Vec<f64> = self.by_account.values().map(|u| u.asked).collect();
+        let mut demands: Vec<f64> = self.by_account.values().map(|u| u.demand).collect();
         demands.sort_by(f64::total_cmp);
-        let mut left = admitted.max(self.stated * SURELY_DONE);
+        let mut left = admitted.max(self.stated_capacity * MIN_SERVED_SHARE);
         let mut accounts = demands.len() as f64;
         for demand in demands {
             let even = left / accounts;
@@ -189,19 +188,20 @@
         None
     }
 
-    fn fade(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.faded_at);
-        if passed < LEVEL_EVERY {
+    fn decay(&mut self, now: Duration) {
+        let passed = now.saturating_sub(self.decayed_at);
+        if passed < LEVEL_INTERVAL {
             return;
         }
-        self.faded_at = now;
-        let left = fade(passed, MEMORY);
-        self.asked_here *= left;
+        self.decayed_at = now;
+        let left = decay(passed, DECAY_TIME);
+        self.local_demand *= left;
         for used in self.by_account.values_mut() {
-            used.asked *= left;
+            used.demand *= left;
             used.admitted *= left;
         }
-        let is_used = |u: &Use| u.asked > FORGET_BELOW || u.own_asked > 0 || u.own_admitted > 0;
+        let is_used =
+            |u: &Use| u.demand > MIN_UNITS || u.unreported_demand > 0 || u.unreported_admitted > 0;
         self.by_account.retain(|_, used| is_used(used));
     }
 }
--- a/crates/forward/src/share/mod.rs
+++ b/crates/forward/src/share/mod.rs
@@ -1,17 +1,13 @@
-//! Which client accounts use more than their fair share of the engines.
+//! Fair shares of client accounts in the engines' service.
 //!
-//! **Pattern of load.** A few accounts send many times their usual, more than the engines can do.
-//!
-//! **Without it** whoever sends most gets most: the small accounts wait behind the flood, or are
-//! refused in proportion.
-//!
-//! **The rule.** What the engines did lately is compared with what each account asked. The level is
-//! the most that an account can get if every account that asks less than it gets all it asks
-//! (max-min fairness). An account above the level only gets what nobody else would use. The level
-//! needs no figure for what the engines can do: it is what they did, so it follows when some are lost
-//! or slow, and there is none while nobody is refused.
+//! Without them, the account that sends most gets most, and small accounts are refused in
+//! proportion. What the engines served lately is compared with each account's demand. The level is
+//! the most that an account can get if every account with less demand is served in full (max-min
+//! fairness). An account above the level gets only what no other would use. The level is derived
+//! from what was served, so it follows the engines' capacity, and there is none while nothing is
+//! refused.
 
 mod fair_shares;
 
+pub(crate) use fair_shares::DECAY_TIME;
 pub use fair_shares::FairShares;
-pub(crate) use fair_shares::MEMORY;
--- a/crates/forward/tests/testsuite/book.rs
+++ b/crates/forward/tests/testsuite/book.rs
@@ -1,4 +1,4 @@
-//! Which upstreams there are.
+//! The registry of upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,14 +23,13 @@
     }
 }
 
-fn ready(book: &UpstreamBook) -> Vec<String> {
+fn ready_ids(book: &UpstreamBook) -> Vec<String> {
     book.ready("spec").map(|u| u.said.id.to_string()).collect()
 }
 
-/// The caller would be sent to a process that has ended. A partition holds an announcement up; its
-/// sender crashes, and a later run starts at the same address; then the held-up one arrives.
+/// A delayed announcement of a crashed run does not replace the later run at its address.
 #[googletest::test]
-fn a_late_word_of_an_ended_run_changes_nothing() {
+fn a_late_announcement_of_an_ended_run_is_ignored() {
     let mut book = UpstreamBook::default();
     book.take(NOW, said("old", 10, 5, 80, Stage::Ready));
     book.take(NOW, said("new", 20, 1, 80, Stage::Ready));
@@ -38,13 +37,13 @@
         book.take(NOW, said("old", 10, 6, 80, Stage::Ready)),
         eq(News::Stale)
     );
-    expect_that!(ready(&book), elements_are![eq("new")]);
+    expect_that!(ready_ids(&book), elements_are![eq("new")]);
 }
 
-/// An upstream that leaves would get work again. It says that it drains; an announcement sent before
-/// arrives after; the run must not come back, while a later run of the same identity may.
+/// A reordered announcement does not make a draining run ready again; a later run of the same
+/// identity is accepted.
 #[googletest::test]
-fn who_leaves_does_not_come_back_within_the_run() {
+fn a_draining_run_does_not_become_ready_again() {
     let mut book = UpstreamBook::default();
     book.take(NOW, said("a", 10, 7, 80, Stage::Draining));
     expect_that!(
@@ -55,16 +54,16 @@
         book.take(NOW, said("a", 10, 9, 80, Stage::Ready)),
         eq(News::Stale)
     );
-    expect_that!(ready(&book), is_empty());
+    expect_that!(ready_ids(&book), is_empty());
     expect_that!(
         book.take(NOW, said("a", 11, 1, 80, Stage::Ready)),
         eq(News::Changed)
     );
-    expect_that!(ready(&book), elements_are![eq("a")]);
+    expect_that!(ready_ids(&book), elements_are![eq("a")]);
 }
 
 #[googletest::test]
-fn leaving_without_a_word_before_is_remembered() {
+fn a_departure_without_a_draining_stage_is_remembered() {
     let mut book = UpstreamBook::default();
     book.take(NOW, said("a", 10, 7, 80, Stage::Ready));
     expect_that!(
@@ -79,11 +78,10 @@
     );
 }
 
-/// An upstream that leaves would go on getting work. It announced itself to one control host and tells
-/// another that it leaves, which has never heard of it; entries hear of the leaving before, or after,
-/// the announcement.
+/// A departure may be received by a host that never received the upstream's announcement, before or
+/// after other hosts receive that.
 #[googletest::test]
-fn leaving_is_remembered_of_an_upstream_never_heard_of() {
+fn a_departure_of_an_unknown_upstream_is_remembered() {
     let mut book = UpstreamBook::default();
     expect_that!(book.leave(NOW, "a", Some(10)), eq(true));
     expect_that!(
@@ -109,7 +107,7 @@
 }
 
 #[googletest::test]
-fn a_sign_keeps_only_the_run_that_it_names() {
+fn a_keep_alive_refreshes_only_the_run_that_it_names() {
     let mut book = UpstreamBook::default();
     book.take(NOW, said("a", 10, 1, 80, Stage::Ready));
     let later = NOW + Duration::from_secs(3);
@@ -129,7 +127,7 @@
 }
 
 #[googletest::test]
-fn silence_ends_an_upstream_and_a_word_brings_it_back() {
+fn a_silent_upstream_expires_and_an_announcement_restores_it() {
     let mut book = UpstreamBook::default();
     book.take(NOW, said("a", 10, 1, 80, Stage::Ready));
     let silence = Duration::from_secs(4);
@@ -145,7 +143,7 @@
     );
 }
 
-fn any_said() -> impl Strategy<Value = Announcement> {
+fn any_announcement() -> impl Strategy<Value = Announcement> {
     let stage = any::<u8>().prop_map(|n| match n % 4 {
         0 => Stage::Draining,
         1 => Stage::Left,
@@ -157,15 +155,17 @@
 }
 
 proptest! {
-    /// Announcements come late, doubled and in any order. Whatever comes, no two upstreams are ready at
-    /// one address, and no identity goes back to an earlier run or becomes ready again within one.
+    /// For delayed, duplicated and reordered announcements, no two upstreams are ready at one
+    /// address, and no identity returns to an earlier run or becomes ready again within one.
     #[test]
-    fn nothing_goes_back_whatever_comes(words in proptest::collection::vec(any_said(), 1..40)) {
+    fn any_order_of_announcements_only_moves_forward(
+        announcements in proptest::collection::vec(any_announcement(), 1..40),
+    ) {
         let mut book = UpstreamBook::default();
-        for word in words {
-            let id = word.id.clone();
+        for announcement in announcements {
+            let id = announcement.id.clone();
             let before = book.get(&id).map(|u| u.said.clone());
-            book.take(NOW, word);
+            book.take(NOW, announcement);
             let mut addresses: Vec<_> = book.ready("spec").map(|u| u.said.address).collect();
             let ready = addresses.len();
             addresses.sort();
--- a/crates/forward/tests/testsuite/config.rs
+++ b/crates/forward/tests/testsuite/config.rs
@@ -1,4 +1,4 @@
-//! Configurations: what is refused, and which route a request belongs to.
+//! Validation of configurations, and matching of requests to routes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -102,7 +102,7 @@
 }
 
 #[googletest::test]
-fn ten_thousand_routes_are_found_one_by_one() {
+fn each_of_ten_thousand_routes_is_found() {
     let routes = (0..10_000).map(|n| route("a.example", &format!("/p{n}/"), &[("desk", 1)]));
     let config = ForwardConfig::try_from(draft(routes.collect())).unwrap();
     for n in (0..10_000).step_by(97) {
@@ -126,7 +126,7 @@
 }
 
 #[googletest::test]
-fn a_key_names_its_account() {
+fn a_key_identifies_its_account() {
     let mut draft = draft(vec![]);
     draft.accounts = vec![account("one", &["k1", "k2"]), account("two", &["k3"])];
     let config = ForwardConfig::try_from(draft).unwrap();
@@ -135,10 +135,10 @@
     expect_that!(name("k4"), none());
 }
 
-/// What waits at an engine is bounded by the shortest pause that its routes aim at. A route that aims at
-/// none, states zero, or is no stream, must not make that bound zero: everything would be refused.
+/// Routes without a target, with a target of zero, or without streams do not lower the shortest
+/// pause: a limit of zero refuses everything.
 #[googletest::test]
-fn the_shortest_pause_is_of_streams_that_state_one() {
+fn the_shortest_pause_comes_from_streams_with_a_target() {
     let gap = |ms| Some(Duration::from_millis(ms));
     let stream = |prefix, gap| RouteDraft {
         kind: Kind::Streaming { resumable: true },
--- a/crates/forward/tests/testsuite/engines.rs
+++ b/crates/forward/tests/testsuite/engines.rs
@@ -1,4 +1,4 @@
-//! Model engines in virtual time: they read prompts one after the other, and keep what they read.
+//! Simulated model engines in virtual time: they prefill prompts in order and cache them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
     Ask, Candidate, Pace, Placement, Prompt, Refusal, place_engine,
 };
 
-/// What the engines of the tests read, in tokens a millisecond.
+/// Prefill rate of the simulated engines.
 pub(crate) const PACE: Pace = Pace {
     tokens_per_ms: 25.0,
     base_ms: 35.0,
 };
-/// The tightest target of the tests.
+/// Shortest target of the tests.
 pub(crate) const TARGET: Duration = Duration::from_millis(400);
-const ROOM: u64 = 120_000;
+const CACHE_TOKENS: u64 = 120_000;
 
 struct Running {
     engine: usize,
@@ -25,18 +25,18 @@
     begun: bool,
 }
 
-/// One entry before some engines, all in one domain.
+/// One entry and several engines, all in one domain.
 pub(crate) struct Fleet {
     pub(crate) ids: Vec<Arc<str>>,
     pub(crate) loads: UpstreamLoads,
-    /// By how much each engine is slower than it should be.
+    /// Factor by which each engine is slower than expected.
     pub(crate) slowness: Vec<f64>,
     free_at: Vec<Duration>,
     running: Vec<Running>,
     turn: u64,
-    /// Tokens that engines read, and of these the ones of shared parts.
-    pub(crate) read: u64,
-    pub(crate) reads_of_part: HashMap<u64, u32>,
+    /// Prefilled tokens of all engines.
+    pub(crate) prefilled: u64,
+    pub(crate) prefills_of_segment: HashMap<u64, u32>,
 }
 
 impl Fleet {
@@ -51,16 +51,16 @@
             free_at: vec![Duration::ZERO; engines],
             running: Vec::new(),
             turn: 0,
-            read: 0,
-            reads_of_part: HashMap::new(),
+            prefilled: 0,
+            prefills_of_segment: HashMap::new(),
             ids,
             loads,
         }
     }
 
-    /// Lets the engines work until `now`.
+    /// Runs the engines until `now`.
     pub(crate) fn work(&mut self, now: Duration) {
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         for mut run in std::mem::take(&mut self.running) {
             let id = &self.ids[run.engine];
             let load = self.loads.get_mut(id, 1).expect("known");
@@ -72,13 +72,13 @@
                 load.on_over(&run.sent, true);
                 load.on_succeeded(now);
             } else {
-                left.push(run);
+                remaining.push(run);
             }
         }
-        self.running = left;
+        self.running = remaining;
     }
 
-    /// Places a request; returns where, and when its first event comes.
+    /// Places a request. Returns its engine and the time of its first event.
     pub(crate) fn place(
         &mut self,
         now: Duration,
@@ -118,15 +118,16 @@
         let id = self.ids[engine].clone();
         let load = self.loads.get_mut(&id, 1).expect("known");
         for part in prompt.shared.iter().filter(|p| !load.kept.holds(p.id)) {
-            *self.reads_of_part.entry(part.id).or_default() += 1;
+            *self.prefills_of_segment.entry(part.id).or_default() += 1;
         }
-        self.read += placed.sent.unread_tokens;
+        self.prefilled += placed.sent.unread_tokens;
         load.on_sent(&placed.sent);
-        self.loads.note_parts(now, &id, &prompt.shared, ROOM);
-        let reading = placed.sent.unread_tokens as f64 / PACE.tokens_per_ms / 1e3;
-        let reading = Duration::from_secs_f64(reading * self.slowness[engine]);
+        self.loads
+            .note_parts(now, &id, &prompt.shared, CACHE_TOKENS);
+        let prefill = placed.sent.unread_tokens as f64 / PACE.tokens_per_ms / 1e3;
+        let prefill = Duration::from_secs_f64(prefill * self.slowness[engine]);
         let starts = self.free_at[engine].max(now);
-        self.free_at[engine] = starts + reading;
+        self.free_at[engine] = starts + prefill;
         let begins = self.free_at[engine] + Duration::from_millis(35);
         self.running.push(Running {
             engine,
--- a/crates/forward/tests/testsuite/follow.rs
+++ b/crates/forward/tests/testsuite/follow.rs
@@ -1,13 +1,12 @@
-//! Which control host entries follow.
+//! Choice of the control host.
 
 use coltsfootnotch_forward::follow::Following;
 use googletest::prelude::*;
 
-/// A seventh of the requests is late on a calm day: two entries fill the same engine. They connected to
-/// the control hosts in different orders, the first by name keeps no log, and each of them went on to the
-/// connection after it instead of the next host by name, so they followed different hosts.
+/// Entries that choose different control hosts overfill the same engines. All choose the same host,
+/// whatever the order of connections and of removals.
 #[googletest::test]
-fn entries_follow_the_same_host_whatever_order_they_connect_in() {
+fn entries_choose_the_same_host_in_any_order_of_connections() {
     let orders = [
         ["a", "b", "c"],
         ["c", "a", "b"],
@@ -27,7 +26,7 @@
 }
 
 #[googletest::test]
-fn a_silent_host_is_left_for_the_next_and_the_last_for_the_first() {
+fn a_timeout_changes_to_the_next_host_and_from_the_last_to_the_first() {
     let mut following = Following::default();
     for (link, host) in ["c", "a", "b"].iter().enumerate() {
         following.up(host, link);
@@ -40,9 +39,9 @@
     expect_that!(followed, elements_are![eq(&1), eq(&2), eq(&0), eq(&1)]);
 }
 
-/// A host restarts: its new connection is up before the old one is known to be gone.
+/// A restarted host connects again before its old connection is closed.
 #[googletest::test]
-fn two_connections_to_one_host_are_two() {
+fn two_connections_to_one_host_are_distinct() {
     let mut following = Following::default();
     following.up("a", 1);
     following.up("a", 2);
--- a/crates/forward/tests/testsuite/load.rs
+++ b/crates/forward/tests/testsuite/load.rs
@@ -1,4 +1,4 @@
-//! What entries know of each other's load.
+//! Exchange of load between entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 }
 
 #[googletest::test]
-fn an_entry_is_told_of_the_others_only() {
+fn an_entry_receives_the_load_of_the_others_only() {
     let id: Arc<str> = "spec-1".into();
     let mut fleet = FleetLoad::default();
     for entry in 0..3_u32 {
@@ -40,9 +40,9 @@
         loads.entry(&id, 1).on_sent(&sent(100));
         fleet.take(NOW, entry, report(&mut loads));
     }
-    let told = without(&fleet, NOW, &1);
-    expect_that!(told.upstreams[0].running, eq(2));
-    expect_that!(told.upstreams[0].waiting_tokens, eq(200));
+    let received = without(&fleet, NOW, &1);
+    expect_that!(received.upstreams[0].running, eq(2));
+    expect_that!(received.upstreams[0].waiting_tokens, eq(200));
     expect_that!(fleet.entries(NOW), eq(3));
     expect_that!(
         without(&fleet, NOW + Duration::from_secs(3), &1).upstreams,
@@ -51,7 +51,7 @@
 }
 
 #[googletest::test]
-fn what_happened_is_told_once_and_what_stands_again() {
+fn counters_are_sent_once_and_running_requests_again() {
     let id: Arc<str> = "spec-1".into();
     let mut loads = UpstreamLoads::default();
     loads.entry(&id, 1).on_sent(&sent(100));
@@ -67,10 +67,10 @@
     expect_that!(second.upstreams[0].running, eq(1));
 }
 
-/// An engine restarts under its identity and address. It holds nothing of before, so nothing that
-/// was sent to the run before may count there, nor may its end be taken off twice.
+/// A request sent to an earlier run of an engine does not count for a later one, and its end is not
+/// subtracted twice.
 #[googletest::test]
-fn a_later_run_starts_with_nothing() {
+fn a_later_run_starts_without_load() {
     let id: Arc<str> = "spec-1".into();
     let mut loads = UpstreamLoads::default();
     loads.entry(&id, 1).on_sent(&sent(100));
--- a/crates/forward/tests/testsuite/many_entries/fleet.rs
+++ b/crates/forward/tests/testsuite/many_entries/fleet.rs
@@ -1,4 +1,4 @@
-//! Entries that learn late of each other, and engines that read one prompt after the other.
+//! Simulated entries with delayed reports, and engines that prefill prompts in order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,26 +10,26 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// What one engine reads, in tokens a millisecond: a large model on one accelerator of today.
+/// Prefill rate of one engine.
 const PACE: Pace = Pace {
     tokens_per_ms: 112.0,
     base_ms: 35.0,
 };
-/// The tightest target of the service's routes.
+/// Shortest target of the service's routes.
 pub(super) const TARGET: Duration = Duration::from_millis(400);
-/// Between two reports of an entry, and two rounds of a control host.
+/// Time between two reports of an entry and two broadcasts of the control host.
 const PERIOD_MS: u64 = 100;
-/// An answer's length after its first event.
+/// Duration of an answer after its first event.
 const ANSWER: Duration = Duration::from_millis(300);
 const DOMAIN: &str = "north";
 
-/// What an account got.
+/// Outcomes of an account's requests.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Got {
-    pub(super) asked: u32,
+pub(super) struct Outcomes {
+    pub(super) requests: u32,
     pub(super) refused: u32,
     pub(super) late: u32,
-    /// Service units that were let in.
+    /// Admitted service units.
     pub(super) units: u64,
 }
 
@@ -46,7 +46,7 @@
     shares: FairShares,
 }
 
-/// Entries, engines, and a control host between the entries.
+/// Entries, engines, and the control host between the entries.
 pub(super) struct Fleet {
     entries: Vec<Entry>,
     engines: Vec<Arc<str>>,
@@ -54,13 +54,13 @@
     idle: Duration,
     running: Vec<Running>,
     control: FleetLoad<usize>,
-    /// Words on their way to the entries.
-    on_the_way: Vec<LoadWord>,
+    /// Reports in transit to the entries.
+    in_transit: Vec<LoadWord>,
     rng: StdRng,
     now: Duration,
 }
 
-/// An account's load: requests a second over the whole fleet.
+/// Load of an account, in requests per second over the whole fleet.
 pub(super) struct Load {
     pub(super) account: Arc<str>,
     pub(super) per_s: f64,
@@ -86,45 +86,46 @@
             idle: Duration::ZERO,
             running: Vec::new(),
             control: FleetLoad::default(),
-            on_the_way: Vec::new(),
+            in_transit: Vec::new(),
             rng: StdRng::seed_from_u64(7),
             now: Duration::ZERO,
         }
     }
 
-    /// Units a second that the engines can read.
+    /// Service units per second that the engines can prefill.
     pub(super) fn capacity(&self) -> f64 {
         self.engines.len() as f64 * PACE.tokens_per_ms * 1e3
     }
 
-    /// Plays a load for a time; what each account got, and the share of the time that engines idled.
-    pub(super) fn play(&mut self, loads: &[Load], time: Duration) -> (Vec<Got>, f64) {
-        let mut got = vec![Got::default(); loads.len()];
+    /// Simulates a load for a time. Returns the outcomes by account, and the share of the time that
+    /// engines were idle.
+    pub(super) fn simulate(&mut self, loads: &[Load], time: Duration) -> (Vec<Outcomes>, f64) {
+        let mut outcomes = vec![Outcomes::default(); loads.len()];
         self.idle = Duration::ZERO;
         let end = self.now + time;
         while self.now < end {
             self.now += Duration::from_millis(1);
             self.work();
             if self.now.as_millis().is_multiple_of(u128::from(PERIOD_MS)) {
-                self.tell();
+                self.exchange_reports();
             }
-            for (load, got) in loads.iter().zip(&mut got) {
+            for (load, outcomes) in loads.iter().zip(&mut outcomes) {
                 let mut due = load.per_s / 1e3;
                 while due > 0.0 {
                     if self.rng.random_bool(due.min(1.0)) {
-                        self.ask(&load.account, got);
+                        self.send_request(&load.account, outcomes);
                     }
                     due -= 1.0;
                 }
             }
         }
         let all = time.as_secs_f64() * self.engines.len() as f64;
-        (got, self.idle.as_secs_f64() / all)
+        (outcomes, self.idle.as_secs_f64() / all)
     }
 
-    fn ask(&mut self, account: &Arc<str>, got: &mut Got) {
+    fn send_request(&mut self, account: &Arc<str>, outcomes: &mut Outcomes) {
         let entry = self.rng.random_range(0..self.entries.len());
-        // The own parts of three kinds of prompt of a service that drafts texts.
+        // Uncached tokens of three kinds of prompt.
         let tokens = [543, 1_800, 1_800, 2_890, 2_890][self.rng.random_range(0..5)];
         let prompt = Prompt {
             tokens,
@@ -135,7 +136,7 @@
         let Entry { loads, shares } = &mut self.entries[entry];
         let units = prompt.units();
         shares.ask(self.now, account, units);
-        got.asked += 1;
+        outcomes.requests += 1;
         let ask = Ask {
             prompt: &prompt,
             pressure: shares.pressure(self.now, account),
@@ -154,18 +155,18 @@
             load: loads.get(id, 1).expect("known"),
         });
         let Ok(placed) = place_engine(self.now, &ask, PACE, candidates) else {
-            got.refused += 1;
+            outcomes.refused += 1;
             return;
         };
         shares.admit(self.now, account, units);
-        got.units += units;
+        outcomes.units += units;
         loads.entry(&placed.id, 1).on_sent(&placed.sent);
         let engine = self.engines.iter().position(|id| *id == placed.id);
         let engine = engine.expect("known");
         let reading = Duration::from_secs_f64(tokens as f64 / PACE.tokens_per_ms / 1e3);
         self.free_at[engine] = self.free_at[engine].max(self.now) + reading;
         let begins = self.free_at[engine] + Duration::from_millis(35);
-        got.late += u32::from(begins > self.now + TARGET);
+        outcomes.late += u32::from(begins > self.now + TARGET);
         self.running.push(Running {
             entry,
             engine,
@@ -195,27 +196,27 @@
             .retain(|run| !run.begun || run.begins + ANSWER > now);
     }
 
-    /// A round of reports: they reach the control host now, and the other entries a round later.
-    fn tell(&mut self) {
+    /// Exchanges reports: they reach the control host now, and the other entries a period later.
+    fn exchange_reports(&mut self) {
         let now = self.now;
-        for (entry, word) in self.entries.iter_mut().zip(self.on_the_way.drain(..)) {
-            entry.loads.take_others(now, &word, |_| 0);
-            entry.shares.take_others(now, &word);
+        for (entry, report) in self.entries.iter_mut().zip(self.in_transit.drain(..)) {
+            entry.loads.take_others(now, &report, |_| 0);
+            entry.shares.take_others(now, &report);
         }
         for (n, entry) in self.entries.iter_mut().enumerate() {
             let (upstreams, parts) = entry.loads.report();
             let accounts = entry.shares.report();
-            let word = LoadWord {
+            let report = LoadWord {
                 upstreams,
                 parts,
                 accounts,
                 ..LoadWord::default()
             };
-            self.control.take(now, n, word);
+            self.control.take(now, n, report);
         }
         let totals = self.control.totals(now);
-        let words = (0..self.entries.len()).map(|n| self.control.without(now, &totals, &n));
-        self.on_the_way = words.collect();
+        let reports = (0..self.entries.len()).map(|n| self.control.without(now, &totals, &n));
+        self.in_transit = reports.collect();
         self.control.next_period(now);
     }
 }
--- a/crates/forward/tests/testsuite/many_entries/floods.rs
+++ b/crates/forward/tests/testsuite/many_entries/floods.rs
@@ -5,82 +5,80 @@
 
 use googletest::prelude::*;
 
-use super::fleet::{Fleet, Got, Load};
+use super::fleet::{Fleet, Load, Outcomes};
 
-/// Mean units of a request of the tests.
+/// Mean service units of a request.
 const MEAN_UNITS: f64 = 1_984.0;
 
-/// `floods` accounts that send `times` their even part of what the engines can do, and `small` ones that
-/// send a tenth of it.
+/// `floods` accounts that send `times` their even share of the engines' capacity, and `small` ones
+/// that send a tenth of theirs.
 fn loads(fleet: &Fleet, floods: usize, times: f64, small: usize) -> Vec<Load> {
-    let even = fleet.capacity() / (floods + small) as f64 / MEAN_UNITS;
-    let load = |name: String, part: f64| Load {
+    let even_share = fleet.capacity() / (floods + small) as f64 / MEAN_UNITS;
+    let load = |name: String, share: f64| Load {
         account: Arc::from(name),
-        per_s: even * part,
+        per_s: even_share * share,
     };
     let flooding = (0..floods).map(|n| load(format!("flood-{n}"), times));
     let small = (0..small).map(|n| load(format!("small-{n}"), 0.1));
     flooding.chain(small).collect()
 }
 
-fn refused_share(got: &[Got]) -> f64 {
-    let refused: u32 = got.iter().map(|g| g.refused).sum();
-    let asked: u32 = got.iter().map(|g| g.asked).sum();
-    f64::from(refused) / f64::from(asked)
+fn refused_share(outcomes: &[Outcomes]) -> f64 {
+    let refused: u32 = outcomes.iter().map(|g| g.refused).sum();
+    let requests: u32 = outcomes.iter().map(|g| g.requests).sum();
+    f64::from(refused) / f64::from(requests)
 }
 
-fn late_share(got: &[Got]) -> f64 {
-    let late: u32 = got.iter().map(|g| g.late).sum();
-    let served: u32 = got.iter().map(|g| g.asked - g.refused).sum();
+fn late_share(outcomes: &[Outcomes]) -> f64 {
+    let late: u32 = outcomes.iter().map(|g| g.late).sum();
+    let served: u32 = outcomes.iter().map(|g| g.requests - g.refused).sum();
     f64::from(late) / f64::from(served)
 }
 
-/// Units that the account with the least and the one with the most got.
-fn least_and_most(got: &[Got]) -> (u64, u64) {
-    let units = || got.iter().map(|g| g.units);
+/// Least and most admitted service units of an account.
+fn least_and_most_units(outcomes: &[Outcomes]) -> (u64, u64) {
+    let units = || outcomes.iter().map(|g| g.units);
     (units().min().unwrap_or(0), units().max().unwrap_or(0))
 }
 
-/// Pattern: 13 of 30 accounts send eight times their even part through 32 entries, which hear of each
-/// other 100 to 200 ms late. An engine that looks idle looks so to all 32 at once. With only a bound on
-/// what may wait, 68% of what was served was late and engines idled for 11% of the time.
+/// 13 of 30 accounts send eight times their even share through 32 entries with reports 100 to 200
+/// ms old. With a bound on waits alone, all entries overfill the engines that look idle.
 #[googletest::test]
-fn entries_do_not_fall_upon_an_idle_engine_together() {
+fn entries_do_not_overfill_an_idle_engine_together() {
     let mut fleet = Fleet::new(32, 40);
     let loads = loads(&fleet, 13, 8.0, 17);
-    fleet.play(&loads, Duration::from_secs(3));
-    let (got, idle) = fleet.play(&loads, Duration::from_secs(10));
-    let (floods, small) = got.split_at(13);
+    fleet.simulate(&loads, Duration::from_secs(3));
+    let (outcomes, idle) = fleet.simulate(&loads, Duration::from_secs(10));
+    let (floods, small) = outcomes.split_at(13);
     expect_that!(refused_share(small), lt(0.02));
-    expect_that!(late_share(&got), lt(0.05));
+    expect_that!(late_share(&outcomes), lt(0.05));
     expect_that!(idle, lt(0.08));
-    let (least, most) = least_and_most(floods);
+    let (least, most) = least_and_most_units(floods);
     expect_that!(least * 10, gt(most * 8), "equal floods get nearly the same");
 }
 
-/// Pattern: 7 of 16 accounts send six times their even part through 13 entries before 9 engines. The
-/// same with fewer of everything, so that a single request weighs more.
+/// The same with 13 entries and 9 engines, where a single request weighs more.
 #[googletest::test]
-fn a_small_fleet_is_kept_busy_and_in_time() {
+fn a_small_fleet_stays_busy_and_in_time() {
     let mut fleet = Fleet::new(13, 9);
     let loads = loads(&fleet, 7, 6.0, 9);
-    fleet.play(&loads, Duration::from_secs(3));
-    let (got, idle) = fleet.play(&loads, Duration::from_secs(10));
-    let (floods, small) = got.split_at(7);
+    fleet.simulate(&loads, Duration::from_secs(3));
+    let (outcomes, idle) = fleet.simulate(&loads, Duration::from_secs(10));
+    let (floods, small) = outcomes.split_at(7);
     expect_that!(refused_share(small), lt(0.02));
-    expect_that!(late_share(&got), lt(0.08));
+    expect_that!(late_share(&outcomes), lt(0.08));
     expect_that!(idle, lt(0.12));
-    let (least, most) = least_and_most(floods);
+    let (least, most) = least_and_most_units(floods);
     expect_that!(least * 10, gt(most * 8));
 }
 
-/// Pattern: a flood meets a fleet that has served nothing yet, as after an outage of everything. What
-/// accounts may have is measured by what was served; taken by that alone, nothing would ever be let in.
+/// After a full outage nothing was served lately; shares derived from served units alone admit
+/// nothing.
 #[googletest::test]
-fn a_fleet_that_did_nothing_is_filled_within_a_second() {
+fn an_idle_fleet_is_filled_within_a_second() {
     let mut fleet = Fleet::new(32, 40);
     let loads = loads(&fleet, 13, 8.0, 17);
-    fleet.play(&loads, Duration::from_millis(500));
-    let (_, idle) = fleet.play(&loads, Duration::from_millis(1_500));
+    fleet.simulate(&loads, Duration::from_millis(500));
+    let (_, idle) = fleet.simulate(&loads, Duration::from_millis(1_500));
     expect_that!(idle, lt(0.15));
 }
--- a/crates/forward/tests/testsuite/many_entries/mod.rs
+++ b/crates/forward/tests/testsuite/many_entries/mod.rs
@@ -1,4 +1,4 @@
-//! Many entries before the same engines, in virtual time.
+//! Many entries and the same engines, in virtual time.
 
 mod fleet;
 mod floods;
--- a/crates/forward/tests/testsuite/place.rs
+++ b/crates/forward/tests/testsuite/place.rs
@@ -1,4 +1,4 @@
-//! Where work goes, and who is refused, on heavy days.
+//! Placement and refusals under heavy load.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
     Duration::from_millis(ms)
 }
 
-/// A prompt about one of many subjects: 2,520 tokens that few texts share, 3,780 of the subject, and
-/// 2,890 of its own. These are the sizes of a contractors' co-operative's full specifications.
-fn about(subject: u64) -> Prompt {
+/// A prompt about one of many subjects: 2,520 tokens shared by a quarter of all prompts, 3,780
+/// shared by those about the subject, and 2,890 unique ones.
+fn prompt_about(subject: u64) -> Prompt {
     Prompt {
         tokens: 9_190,
         output_tokens: 52,
@@ -31,8 +31,8 @@
     }
 }
 
-/// A short question of its own.
-fn short() -> Prompt {
+/// A short prompt without shared segments.
+fn short_prompt() -> Prompt {
     Prompt {
         tokens: 543,
         output_tokens: 280,
@@ -40,17 +40,16 @@
     }
 }
 
-/// Pattern: 68 subjects, asked for evenly at 40 a second, before 9 engines that together could read
-/// 225 tokens a millisecond. Read anew each time, the prompts are 368 a millisecond; with each subject
-/// kept at one engine, 116.
+/// 68 subjects at 40 requests per second, for 9 engines that together prefill 225 tokens per
+/// millisecond. Without caching the prompts need 368; with each subject cached at one engine, 116.
 #[googletest::test]
-fn subjects_are_divided_over_the_engines() {
+fn subjects_are_distributed_over_the_engines() {
     let mut fleet = Fleet::new(9);
     for n in 0..800_u64 {
-        let _placed = fleet.place(at(n * 25), &about(n * 7 % 68), None);
+        let _placed = fleet.place(at(n * 25), &prompt_about(n * 7 % 68), None);
     }
     let copies: u32 = fleet
-        .reads_of_part
+        .prefills_of_segment
         .iter()
         .filter(|(id, _)| **id < 68)
         .map(|(_, n)| n)
@@ -58,33 +57,37 @@
     expect_that!(
         copies,
         lt(68 * 2),
-        "each subject is read at fewer than two engines"
+        "each subject is prefilled at fewer than two engines"
+    );
+    expect_that!(
+        fleet.prefilled / 800,
+        lt(4_500),
+        "prefilled tokens per request"
     );
-    expect_that!(fleet.read / 800, lt(4_500), "tokens read for each request");
 }
 
-/// Pattern: one subject gets all the traffic, more than one engine can do. Its home fills up; engines
-/// with time to spare read it too and keep it, and hardly anybody is refused.
+/// One subject gets more traffic than one engine can serve: others with capacity prefill and cache
+/// it too, and few requests are refused.
 #[googletest::test]
-fn a_hot_subject_is_kept_by_several_engines() {
+fn a_hot_subject_is_cached_by_several_engines() {
     let mut fleet = Fleet::new(9);
-    let refused = (0..400).filter(|n| fleet.place(at(n * 25), &about(3), None).is_err());
+    let refused = (0..400).filter(|n| fleet.place(at(n * 25), &prompt_about(3), None).is_err());
     expect_that!(refused.count(), lt(40));
-    expect_that!(fleet.reads_of_part[&3], all!(ge(3), le(9)));
+    expect_that!(fleet.prefills_of_segment[&3], all!(ge(3), le(9)));
 }
 
-/// Pattern: the same with an account above its share. It is refused at its subject's home rather than
-/// spread over the engines of everybody else.
+/// Requests of an account above its share are refused at the subject's preferred engine instead of
+/// spreading over the engines of all other accounts.
 #[googletest::test]
-fn a_flood_does_not_spread_its_subjects() {
+fn a_flood_does_not_spread_its_subject() {
     let mut fleet = Fleet::new(9);
-    let refused = (0..400).filter(|n| fleet.place(at(n * 25), &about(3), 1.5).is_err());
+    let refused = (0..400).filter(|n| fleet.place(at(n * 25), &prompt_about(3), 1.5).is_err());
     expect_that!(refused.count(), gt(100));
-    expect_that!(fleet.reads_of_part[&3], eq(1));
+    expect_that!(fleet.prefills_of_segment[&3], eq(1));
 }
 
-/// Pattern: a burst of six times what the engines can do. Without a bound all would wait and nobody
-/// would be served in time; what is let in begins within its target, the rest is refused at once.
+/// A burst of six times the capacity: admitted requests start within the target, the rest is
+/// refused.
 #[googletest::test]
 fn a_burst_is_served_in_time_or_refused_at_once() {
     let mut fleet = Fleet::new(3);
@@ -92,7 +95,7 @@
     let mut served = 0;
     for n in 0..3_000_u64 {
         let now = at(n * 2);
-        match fleet.place(now, &short(), None) {
+        match fleet.place(now, &short_prompt(), None) {
             Ok((_, begins)) => {
                 served += 1;
                 late += usize::from(begins > now + TARGET);
@@ -111,43 +114,42 @@
     );
 }
 
-/// Pattern: two accounts, one far above its share, both sending more than there is room for. The one
-/// below its share gets in nearly always, since the other stops at a fuller engine than it does.
+/// Two accounts exceed the capacity: the one below its share is admitted nearly always, since the
+/// bound of the other is lower.
 #[googletest::test]
-fn a_flood_leaves_room_for_the_others() {
+fn a_flood_leaves_capacity_for_others() {
     let mut fleet = Fleet::new(3);
     let mut refused = [0, 0];
     for n in 0..3_000_u64 {
         let is_small = n % 10 == 0;
         let pressure = if is_small { 0.5 } else { 2.0 };
-        let outcome = fleet.place(at(n * 2), &short(), pressure);
+        let outcome = fleet.place(at(n * 2), &short_prompt(), pressure);
         refused[usize::from(!is_small)] += usize::from(outcome.is_err());
     }
     expect_that!(refused[0], lt(10), "of 300 of the small account");
     expect_that!(refused[1], gt(1_000), "of 2,700 of the flood");
 }
 
-/// Pattern: a flood has filled every engine beyond what others may add, since entries learn late of each
-/// other. An account that asks for a tenth of its share still gets in; one near its share does not.
+/// A flood has filled the engine beyond the normal bound: an account far below its share is still
+/// admitted, one near its share is not.
 #[googletest::test]
-fn a_small_account_gets_in_where_the_others_are_full() {
+fn a_small_account_is_admitted_at_a_saturated_engine() {
     let mut fleet = Fleet::new(1);
-    while fleet.place(at(0), &short(), None).is_ok() {}
-    expect_that!(fleet.place(at(0), &short(), 0.9).is_err(), eq(true));
+    while fleet.place(at(0), &short_prompt(), None).is_ok() {}
+    expect_that!(fleet.place(at(0), &short_prompt(), 0.9).is_err(), eq(true));
     for _ in 0..4 {
-        expect_that!(fleet.place(at(0), &short(), 0.1).is_ok(), eq(true));
+        expect_that!(fleet.place(at(0), &short_prompt(), 0.1).is_ok(), eq(true));
     }
 }
 
-/// Pattern: one of three engines turns five times slower. Its answers still end well; only their time
-/// shows it. Within two seconds it gets less than a third of its even part.
+/// One of three engines turns five times slower without failures.
 #[googletest::test]
 fn a_slow_engine_loses_its_share_within_two_seconds() {
     let mut fleet = Fleet::new(3);
     let count = |fleet: &mut Fleet, from: u64, to: u64| {
         let mut got = [0; 3];
         for now in (from..to).step_by(20) {
-            if let Ok((engine, _)) = fleet.place(at(now), &short(), None) {
+            if let Ok((engine, _)) = fleet.place(at(now), &short_prompt(), None) {
                 got[engine] += 1;
             }
         }
@@ -162,14 +164,14 @@
     expect_that!(
         slow.iter().sum::<i32>(),
         eq(100),
-        "the others take what it loses"
+        "the others take over its share"
     );
 }
 
-/// Pattern: long prompts among short ones. The longest ones are as large as the memory nearly; they
-/// are let in like any other when nothing waits, and the short ones behind them go elsewhere.
+/// Prompts nearly as large as the memory are admitted at an idle engine; short ones avoid that
+/// engine.
 #[googletest::test]
-fn long_prompts_are_let_in_and_short_ones_go_around_them() {
+fn long_prompts_are_admitted_and_short_ones_avoid_their_engine() {
     let mut fleet = Fleet::new(3);
     let long = Prompt {
         tokens: 39_600,
@@ -178,7 +180,7 @@
     };
     let (busy, _) = fleet.place(at(0), &long, None).unwrap();
     for n in 1..20 {
-        let (engine, begins) = fleet.place(at(n * 10), &short(), None).unwrap();
+        let (engine, begins) = fleet.place(at(n * 10), &short_prompt(), None).unwrap();
         expect_that!(engine, not(eq(busy)));
         expect_that!(begins, le(at(n * 10) + TARGET));
     }
--- a/crates/forward/tests/testsuite/retry.rs
+++ b/crates/forward/tests/testsuite/retry.rs
@@ -1,4 +1,4 @@
-//! Second sends and requests that crash upstreams.
+//! Retry budgets, and requests that crash upstreams.
 
 use std::time::Duration;
 
@@ -14,23 +14,23 @@
 };
 
 proptest! {
-    /// Every upstream fails at once, and callers come unevenly to a dozen entries. Whatever the
-    /// spread, all entries together keep the operator's bound in any window.
+    /// With all upstreams failing and requests spread unevenly over a dozen entries, all entries
+    /// together keep the operator's limit in any window.
     #[test]
-    fn all_entries_together_keep_the_bound(
+    fn all_entries_together_keep_the_limit(
         arrivals in proptest::collection::vec((0_usize..12, 0_u64..40_000), 1..2_000),
     ) {
         let mut arrivals = arrivals;
         arrivals.sort_by_key(|(_, at)| *at);
         let mut entries: Vec<_> = (0..12).map(|_| SecondSends::new(BOUND)).collect();
         let mut requests = Vec::new();
-        let mut sends = Vec::new();
+        let mut retries = Vec::new();
         for (entry, at) in arrivals {
             let now = Duration::from_millis(at);
             entries[entry].on_request(now, "spec");
             requests.push(at);
             if entries[entry].try_take(now, "spec", 12) {
-                sends.push(at);
+                retries.push(at);
             }
         }
         let within = |list: &[u64], from: u64| {
@@ -38,32 +38,32 @@
         };
         for from in (0..40_000).step_by(500) {
             let allowed = within(&requests, from).max(within(&requests, from.saturating_sub(5_000)));
-            prop_assert!(within(&sends, from) <= allowed * BOUND.ratio + BOUND.slack);
+            prop_assert!(within(&retries, from) <= allowed * BOUND.ratio + BOUND.slack);
         }
     }
 }
 
-/// The same request crashes each engine that runs it, and its caller sends it again at other entries.
-/// After the third crash every entry refuses it; requests that ran beside it go on.
+/// A caller resends a request that crashes its upstreams at different entries: after the third
+/// crash every entry refuses it, but not requests that ran beside it.
 #[googletest::test]
 fn a_request_that_crashes_upstreams_is_refused_everywhere() {
     let now = Duration::from_secs(5);
     let mut entries = vec![BrokenRequests::default(); 3];
     for entry in 0..3 {
         let run = entry as u64;
-        let beside = 100 + run;
+        let bystander = 100 + run;
         entries[entry].note_own(now, BreakWord { content: 7, run });
         entries[entry].note_own(
             now,
             BreakWord {
-                content: beside,
+                content: bystander,
                 run,
             },
         );
-        let (told, _) = entries[entry].report();
+        let (reported, _) = entries[entry].report();
         for (other, broken) in entries.iter_mut().enumerate().filter(|(n, _)| *n != entry) {
             let _ = other;
-            told.iter().for_each(|word| broken.note(now, *word));
+            reported.iter().for_each(|crash| broken.note(now, *crash));
         }
     }
     for entry in &entries {
@@ -76,10 +76,9 @@
     }
 }
 
-/// Many callers of one account ask the same, and the upstream that runs ten of their requests crashes.
-/// It was one crash: what they ask is not refused.
+/// A crash ends many requests with the same content; it counts once.
 #[googletest::test]
-fn one_crash_counts_once_however_many_asked_the_same() {
+fn one_crash_counts_once_for_many_requests_with_one_content() {
     let now = Duration::from_secs(5);
     let mut broken = BrokenRequests::default();
     for _ in 0..10 {
@@ -88,24 +87,24 @@
     expect_that!(broken.is_refused(now, 7), eq(false));
 }
 
-/// The same content is asked for again and again, and upstreams crash for other reasons. Between the
-/// crashes it is answered, at this entry or another, so it is not what crashes them.
+/// Popular content runs during crashes with other causes; a success between them, at any entry,
+/// clears it.
 #[googletest::test]
-fn a_content_that_is_answered_between_crashes_is_not_their_cause() {
+fn a_content_that_succeeds_between_crashes_is_not_their_cause() {
     let now = Duration::from_secs(5);
-    let (mut here, mut there) = (BrokenRequests::default(), BrokenRequests::default());
+    let (mut local, mut remote) = (BrokenRequests::default(), BrokenRequests::default());
     for run in 0..20 {
-        let word = BreakWord { content: 7, run };
-        here.note_own(now, word);
-        there.note(now, word);
+        let crash = BreakWord { content: 7, run };
+        local.note_own(now, crash);
+        remote.note(now, crash);
         if run % 2 == 1 {
-            here.note_own_success(7);
-            let (_, mended) = here.report();
-            mended
+            local.note_own_success(7);
+            let (_, cleared) = local.report();
+            cleared
                 .iter()
-                .for_each(|content| there.note_success(*content));
+                .for_each(|content| remote.note_success(*content));
         }
-        expect_that!(here.is_refused(now, 7), eq(false));
-        expect_that!(there.is_refused(now, 7), eq(false));
+        expect_that!(local.is_refused(now, 7), eq(false));
+        expect_that!(remote.is_refused(now, 7), eq(false));
     }
 }
--- a/crates/forward/tests/testsuite/share.rs
+++ b/crates/forward/tests/testsuite/share.rs
@@ -1,4 +1,4 @@
-//! Fair shares of what the engines do.
+//! Fair shares of the engines' service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,15 +21,14 @@
 }
 
 #[googletest::test]
-fn nobody_is_above_a_share_while_nobody_is_refused() {
+fn no_account_is_above_its_share_while_nothing_is_refused() {
     let mut shares = shares(&[("chain", 9_000, 9_000), ("bistro", 10, 10)]);
     expect_that!(shares.pressure(NOW, "chain"), none());
 }
 
-/// Two accounts flood, one three times as much as the other. Both are above their share, and the
-/// larger flood by as much more as it got more.
+/// Of two floods, only the one that was admitted three times as much is above its share.
 #[googletest::test]
-fn two_floods_are_told_apart() {
+fn two_floods_are_distinguished() {
     let mut shares = shares(&[("a", 9_000, 3_000), ("b", 3_000, 1_000), ("c", 100, 100)]);
     let (a, b, c) = (
         shares.pressure(NOW, "a").unwrap(),
@@ -42,9 +41,9 @@
 }
 
 #[googletest::test]
-fn what_other_entries_do_counts_and_is_not_reported_again() {
+fn usage_at_other_entries_counts_and_is_not_reported_again() {
     let mut shares = shares(&[("a", 100, 50)]);
-    let word = LoadWord {
+    let report = LoadWord {
         accounts: vec![AccountUse {
             account: "a".to_owned(),
             asked: 1_000,
@@ -52,16 +51,16 @@
         }],
         ..LoadWord::default()
     };
-    shares.take_others(NOW, &word);
-    let own = shares.report();
-    expect_that!(own.len(), eq(1));
-    expect_that!(own[0].asked, eq(100));
+    shares.take_others(NOW, &report);
+    let local = shares.report();
+    expect_that!(local.len(), eq(1));
+    expect_that!(local[0].asked, eq(100));
     expect_that!(shares.report(), is_empty());
     expect_that!(shares.pressure(NOW, "a"), some(gt(0.9)));
 }
 
 #[googletest::test]
-fn a_flood_is_forgotten_soon_after_it_ends() {
+fn a_flood_decays_soon_after_it_ends() {
     let mut shares = shares(&[("flood", 9_000, 3_000), ("small", 300, 300)]);
     expect_that!(shares.pressure(NOW, "flood"), some(gt(0.99)));
     let later = NOW + Duration::from_secs(8);
@@ -71,9 +70,9 @@
 }
 
 proptest! {
-    /// Whoever got no more than an even part of all that was served is never above its share.
+    /// An account with at most an even share of all that was served is never above its share.
     #[test]
-    fn an_even_part_is_never_too_much(
+    fn an_even_share_is_never_above_the_fair_share(
         used in proptest::collection::vec((0_u64..10_000, 0_u64..100), 1..20),
     ) {
         let names: Vec<String> = (0..used.len()).map(|n| format!("a{n}")).collect();
--- a/crates/forward/tests/testsuite/stalls.rs
+++ b/crates/forward/tests/testsuite/stalls.rs
@@ -1,5 +1,4 @@
-//! Streams beside prompts: engines that work in steps, in each of which they read and every stream gets
-//! a token.
+//! Stalls of streams at simulated engines that prefill prompts between generation steps.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,66 +12,60 @@
 
 const DOMAIN: &str = "north";
 const TARGET: Duration = Duration::from_millis(600);
-/// The pause that callers bear.
+/// The pause that callers tolerate.
 const GAP: Duration = Duration::from_millis(300);
-/// Tokens in an event.
-const STRIDE: u32 = 8;
-/// Tokens of prompts, one as likely as the other.
-const PROMPTS: [u64; 8] = [600, 600, 1_800, 1_800, 4_600, 4_600, 15_800, 30_000];
-/// Prompts that come together.
-const CLUMP: u32 = 3;
-/// Tokens of an answer.
-const ANSWER: u32 = 240;
+const TOKENS_PER_EVENT: u32 = 8;
+/// Tokens of prompts, equally likely.
+const PROMPT_TOKENS: [u64; 8] = [600, 600, 1_800, 1_800, 4_600, 4_600, 15_800, 30_000];
+const PROMPTS_PER_BURST: u32 = 3;
+const ANSWER_TOKENS: u32 = 240;
 
-/// The engines of a test.
+/// The kind of engines in a test.
 #[derive(Clone, Copy)]
 struct Kind {
     tokens_per_ms: f64,
-    /// Time of a step in which nothing is read, in milliseconds.
+    /// Time of a step without prefill, in milliseconds.
     step_ms: f64,
-    /// Most tokens read in a step.
-    chunk: f64,
+    max_step_tokens: f64,
 }
 
-/// Reads all that waits before the next step.
+/// Prefills the whole backlog before the next step.
 const GREEDY: Kind = Kind {
     tokens_per_ms: 140.0,
     step_ms: 3.0,
-    chunk: f64::INFINITY,
+    max_step_tokens: f64::INFINITY,
 };
 
-/// Reads a little in each step.
 const CHUNKED: Kind = Kind {
     tokens_per_ms: 140.0,
     step_ms: 3.0,
-    chunk: 2_000.0,
+    max_step_tokens: 2_000.0,
 };
 
 struct Stream {
     sent: Sent,
-    unread: f64,
-    made: u32,
+    uncached: f64,
+    generated: u32,
     last_event: Duration,
-    longest: Duration,
+    longest_pause: Duration,
 }
 
 struct Engine {
     id: Arc<str>,
     waiting: VecDeque<Stream>,
-    /// Read in the step that goes on.
+    /// Prefilled in the current step.
     read: Vec<Stream>,
     streams: Vec<Stream>,
     step_ends: Duration,
 }
 
-/// What callers got.
+/// Outcomes for callers.
 #[derive(Debug, Default)]
-struct Got {
-    asked: u32,
+struct Outcomes {
+    requests: u32,
     refused: u32,
-    /// First event after the target.
     late: u32,
-    /// A pause longer than callers bear.
+    /// A pause longer than callers tolerate.
     stalled: u32,
 }
 
@@ -83,11 +76,11 @@
     loads: UpstreamLoads,
     now: Duration,
     rng: StdRng,
-    got: Got,
+    outcomes: Outcomes,
 }
 
 impl Fleet {
-    /// `gap` is the pause that placement knows of.
+    /// `gap` is the pause that placement takes into account.
     fn new(kind: Kind, gap: Option<Duration>) -> Self {
         let ids = (0..6).map(|n| Arc::<str>::from(format!("engine-{n}")));
         let mut loads = UpstreamLoads::default();
@@ -108,32 +101,32 @@
             loads,
             now: Duration::ZERO,
             rng: StdRng::seed_from_u64(11),
-            got: Got::default(),
+            outcomes: Outcomes::default(),
         }
     }
 
-    /// Plays short and long prompts that come in clumps, at `busy` of what the engines can read.
-    fn play(&mut self, busy: f64, time: Duration) -> Got {
-        self.got = Got::default();
+    /// Simulates bursts of short and long prompts, at `utilization` of the prefill capacity.
+    fn simulate(&mut self, utilization: f64, time: Duration) -> Outcomes {
+        self.outcomes = Outcomes::default();
         let end = self.now + time;
         let all = self.engines.len() as f64 * self.kind.tokens_per_ms;
-        let mean = PROMPTS.iter().sum::<u64>() as f64 / PROMPTS.len() as f64;
-        let clump = busy * all / (f64::from(CLUMP) * mean);
+        let mean = PROMPT_TOKENS.iter().sum::<u64>() as f64 / PROMPT_TOKENS.len() as f64;
+        let burst_rate = utilization * all / (f64::from(PROMPTS_PER_BURST) * mean);
         while self.now < end {
             self.now += Duration::from_millis(1);
-            if self.rng.random_bool(clump) {
-                (0..CLUMP).for_each(|_| self.ask());
+            if self.rng.random_bool(burst_rate) {
+                (0..PROMPTS_PER_BURST).for_each(|_| self.send_request());
             }
             (0..self.engines.len()).for_each(|n| self.work(n));
         }
-        std::mem::take(&mut self.got)
+        std::mem::take(&mut self.outcomes)
     }
 
-    fn ask(&mut self) {
-        let tokens = PROMPTS[self.rng.random_range(0..PROMPTS.len())];
+    fn send_request(&mut self) {
+        let tokens = PROMPT_TOKENS[self.rng.random_range(0..PROMPT_TOKENS.len())];
         let prompt = Prompt {
             tokens,
-            output_tokens: u64::from(ANSWER),
+            output_tokens: u64::from(ANSWER_TOKENS),
             shared: Vec::new(),
         };
         let pace = Pace {
@@ -158,9 +151,9 @@
             load: self.loads.get(&engine.id, 1).expect("known"),
         });
         let placed = place_engine(self.now, &ask, pace, candidates);
-        self.got.asked += 1;
+        self.outcomes.requests += 1;
         let Ok(placed) = placed else {
-            self.got.refused += 1;
+            self.outcomes.refused += 1;
             for engine in &self.engines {
                 let load = self.loads.entry(&engine.id, 1);
                 load.backlog.note_in_the_way(self.now);
@@ -175,10 +168,10 @@
         let engine = self.engines.iter_mut().find(|e| e.id == placed.id);
         engine.expect("known").waiting.push_back(Stream {
             sent: placed.sent,
-            unread: tokens as f64,
-            made: 0,
+            uncached: tokens as f64,
+            generated: 0,
             last_event: self.now,
-            longest: Duration::ZERO,
+            longest_pause: Duration::ZERO,
         });
     }
 
@@ -187,44 +180,47 @@
             return;
         }
         self.end_step(index);
-        self.begin_step(index);
+        self.start_step(index);
     }
 
     fn end_step(&mut self, index: usize) {
         let now = self.now;
         let engine = &mut self.engines[index];
         let load = self.loads.entry(&engine.id, 1);
-        for mut begun in engine.read.drain(..) {
-            self.got.late += u32::from(now > begun.sent.at + TARGET);
-            load.on_begun(now, &begun.sent);
-            begun.last_event = now;
-            engine.streams.push(begun);
+        for mut started in engine.read.drain(..) {
+            self.outcomes.late += u32::from(now > started.sent.at + TARGET);
+            load.on_begun(now, &started.sent);
+            started.last_event = now;
+            engine.streams.push(started);
         }
         for stream in &mut engine.streams {
-            stream.made += 1;
-            if stream.made.is_multiple_of(STRIDE) {
+            stream.generated += 1;
+            if stream.generated.is_multiple_of(TOKENS_PER_EVENT) {
                 let pause = now - stream.last_event;
                 load.backlog.observe_pause(now, pause, GAP);
-                stream.longest = stream.longest.max(pause);
+                stream.longest_pause = stream.longest_pause.max(pause);
                 stream.last_event = now;
             }
         }
-        for over in engine.streams.extract_if(.., |s| s.made >= ANSWER) {
-            self.got.stalled += u32::from(over.longest > GAP);
-            load.on_over(&over.sent, true);
+        for finished in engine
+            .streams
+            .extract_if(.., |s| s.generated >= ANSWER_TOKENS)
+        {
+            self.outcomes.stalled += u32::from(finished.longest_pause > GAP);
+            load.on_over(&finished.sent, true);
         }
     }
 
-    fn begin_step(&mut self, index: usize) {
+    fn start_step(&mut self, index: usize) {
         let engine = &mut self.engines[index];
-        let mut left = self.kind.chunk;
+        let mut left = self.kind.max_step_tokens;
         let mut all = 0.0;
         while let Some(first) = engine.waiting.front_mut() {
-            let read = first.unread.min(left);
-            first.unread -= read;
+            let read = first.uncached.min(left);
+            first.uncached -= read;
             left -= read;
             all += read;
-            if first.unread > 0.0 {
+            if first.uncached > 0.0 {
                 break;
             }
             engine.read.extend(engine.waiting.pop_front());
@@ -234,48 +230,45 @@
     }
 }
 
-fn part(some: u32, of: u32) -> f64 {
-    f64::from(some) / f64::from(of.max(1))
+fn ratio(count: u32, total: u32) -> f64 {
+    f64::from(count) / f64::from(total.max(1))
 }
 
-/// Pattern: prompts of very different length in clumps, beside streams, at engines that read all that waits
-/// before the next token, half busy. First events come in time either way. Placed by the target alone,
-/// nothing is refused and half of the streams have a pause that their callers take for a failure; refusing
-/// some at once, which come again, spares most of these.
+/// Bursts of short and long prompts stall streams at engines that prefill the whole backlog in one
+/// step. The backlog limit prevents most stalls with fewer refusals.
 #[googletest::test]
-fn streams_do_not_stall_beside_prompts() {
-    let play = |gap| {
+fn streams_do_not_stall_during_prefill() {
+    let simulate = |gap| {
         let mut fleet = Fleet::new(GREEDY, gap);
-        fleet.play(0.5, Duration::from_secs(10));
-        fleet.play(0.5, Duration::from_secs(30))
+        fleet.simulate(0.5, Duration::from_secs(10));
+        fleet.simulate(0.5, Duration::from_secs(30))
     };
-    let (before, after) = (play(None), play(Some(GAP)));
-    expect_that!(part(before.stalled, before.asked), gt(0.4));
+    let (before, after) = (simulate(None), simulate(Some(GAP)));
+    expect_that!(ratio(before.stalled, before.requests), gt(0.4));
     expect_that!(after.stalled * 3, lt(before.stalled));
-    let spared = before.stalled - after.stalled;
-    expect_that!(after.refused * 2, lt(spared), "refused for those spared");
-    expect_that!(part(after.late, after.asked), lt(0.01));
+    let avoided = before.stalled - after.stalled;
+    expect_that!(after.refused * 2, lt(avoided), "refusals per stall avoided");
+    expect_that!(ratio(after.late, after.requests), lt(0.01));
 }
 
-/// Pattern: the same at engines that read a little in each step, and are nearly at their limit. Their
-/// streams never stall, so within some seconds nothing but the target bounds what waits.
+/// Engines with chunked prefill near their capacity have no stalls: within seconds the limit does
+/// not refuse more than the target alone.
 #[googletest::test]
-fn engines_that_read_a_little_in_each_step_are_filled() {
-    let play = |gap| {
+fn engines_with_chunked_prefill_are_filled() {
+    let simulate = |gap| {
         let mut fleet = Fleet::new(CHUNKED, gap);
-        fleet.play(0.75, Duration::from_secs(20));
-        fleet.play(0.75, Duration::from_secs(30))
+        fleet.simulate(0.75, Duration::from_secs(20));
+        fleet.simulate(0.75, Duration::from_secs(30))
     };
-    let (before, after) = (play(None), play(Some(GAP)));
+    let (before, after) = (simulate(None), simulate(Some(GAP)));
     expect_that!(after.stalled, eq(0));
-    let refused = |got: &Got| part(got.refused, got.asked);
+    let refused = |outcomes: &Outcomes| ratio(outcomes.refused, outcomes.requests);
     expect_that!(refused(&after), le(refused(&before) + 0.01));
 }
 
-/// Pattern: an engine turns slow, and is as fast as before some seconds later. What may wait there falls
-/// with the first pauses, and comes back; a crash, which is a pause of any length, changes nothing.
+/// The limit falls and recovers with the speed of an engine; a crash leaves it unchanged.
 #[googletest::test]
-fn the_limit_follows_an_engine_down_and_up() {
+fn the_limit_follows_the_speed_of_an_engine() {
     let at = Duration::from_millis;
     let mut limit = BacklogLimit::default();
     let start = limit.get(GAP);
@@ -292,9 +285,9 @@
     expect_that!(limit.get(GAP), gt(start));
 }
 
-/// All streams of an engine pause at the same time: what may wait falls once for it, and not once for each.
+/// All streams of an engine pause together: the limit is cut once for all of them.
 #[googletest::test]
-fn one_pause_is_one_sign() {
+fn one_pause_is_counted_once() {
     let at = Duration::from_millis;
     let mut limit = BacklogLimit::default();
     limit.observe_pause(at(1_000), at(280), GAP);
