--- a/crates/forward/src/config/draft.rs
+++ b/crates/forward/src/config/draft.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Account, Bounds, Kind, Service};
+use super::{Account, Bounds, RouteKind, Service};
 
 /// A service named by a route, with its weight.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     /// Path prefix.
     pub prefix: String,
     /// Whether its requests may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Time limit for an answer.
     pub timeout: Duration,
     /// Target time to the answer or the first event.
--- a/crates/forward/src/config/forward_config.rs
+++ b/crates/forward/src/config/forward_config.rs
@@ -29,7 +29,6 @@
 }
 
 impl Default for Bounds {
-    /// 16 KiB of headers, 4 MiB of body, 3 s for the headers and 15 s of idle time.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -58,8 +57,7 @@
     accounts: Vec<Account>,
     bounds: Bounds,
     units_per_s: Option<f64>,
-    /// Shortest target of each service's streams, computed once.
-    tightest: Vec<Option<Duration>>,
+    shortest_target: Vec<Option<Duration>>,
     shortest_gap: Vec<Option<Duration>>,
     by_host: HashMap<Arc<str>, HashMap<Arc<str>, usize>>,
     by_key: HashMap<String, usize>,
@@ -104,8 +102,8 @@
 
     /// The shortest target among the stream routes of the service with this index.
     #[must_use]
-    pub fn tightest(&self, service: usize) -> Option<Duration> {
-        self.tightest[service]
+    pub fn shortest_target(&self, service: usize) -> Option<Duration> {
+        self.shortest_target[service]
     }
 
     /// The shortest target for pauses between events among the stream routes of the service with
@@ -168,12 +166,15 @@
         let mut routes = Vec::with_capacity(draft.routes.len());
         let mut by_host: HashMap<Arc<str>, HashMap<Arc<str>, usize>> = HashMap::new();
         for (index, route) in draft.routes.into_iter().enumerate() {
-            let place = format!("routes[{index}]");
-            let route = check_route(route, &place, &services, &mut problems);
+            let location = format!("routes[{index}]");
+            let route = check_route(route, &location, &services, &mut problems);
             let prefixes = by_host.entry(route.host.clone()).or_default();
             if let Some(first) = prefixes.insert(route.prefix.clone(), index) {
                 let first = format!("routes[{first}]");
-                problems.push(Problem::new(place, ProblemKind::SamePlace { first }));
+                problems.push(Problem::new(
+                    location,
+                    ProblemKind::DuplicateRoute { first },
+                ));
             }
             routes.push(route);
         }
@@ -181,10 +182,10 @@
             return Err(problems);
         }
         let all = 0..draft.services.len();
-        let tightest = all
+        let shortest_target = all
             .clone()
             .map(|s| shortest_of_streams(&routes, s, |r| r.target));
-        let tightest = tightest.collect();
+        let shortest_target = shortest_target.collect();
         let shortest_gap = all
             .map(|s| shortest_of_streams(&routes, s, |r| r.gap))
             .collect();
@@ -195,7 +196,7 @@
             accounts: draft.accounts,
             bounds: draft.bounds,
             units_per_s: draft.units_per_s,
-            tightest,
+            shortest_target,
             shortest_gap,
             by_host,
             by_key,
@@ -203,8 +204,7 @@
     }
 }
 
-/// The shortest time that the stream routes to a service state. Zero counts as not stated, since no
-/// stream can meet it.
+/// Shortest time that the stream routes to a service state; zero counts as not stated.
 fn shortest_of_streams(
     routes: &[Route],
     service: usize,
@@ -227,8 +227,8 @@
     for (index, name) in names.enumerate() {
         if let Some(first) = found.insert(name.clone(), index) {
             let first = format!("{list}[{first}]");
-            let place = format!("{list}[{index}]");
-            problems.push(Problem::new(place, ProblemKind::SameName { first }));
+            let location = format!("{list}[{index}]");
+            problems.push(Problem::new(location, ProblemKind::DuplicateName { first }));
         }
     }
     found
@@ -242,8 +242,8 @@
             // A duplicate key within one account is harmless.
             if let Some(first) = previous.filter(|first| *first != index) {
                 let first = format!("accounts[{first}]");
-                let place = format!("accounts[{index}]");
-                problems.push(Problem::new(place, ProblemKind::SharedKey { first }));
+                let location = format!("accounts[{index}]");
+                problems.push(Problem::new(location, ProblemKind::SharedKey { first }));
             }
         }
     }
@@ -252,20 +252,23 @@
 
 fn check_route(
     draft: RouteDraft,
-    place: &str,
+    location: &str,
     services: &HashMap<Arc<str>, usize>,
     problems: &mut Vec<Problem>,
 ) -> Route {
     if draft.timeout.is_zero() {
-        problems.push(Problem::new(place, ProblemKind::NoTimeout));
+        problems.push(Problem::new(location, ProblemKind::ZeroTimeout));
     }
     if !draft.prefix.starts_with('/') || !draft.prefix.ends_with('/') {
         let prefix = draft.prefix.clone();
-        problems.push(Problem::new(place, ProblemKind::BadPrefix { prefix }));
+        problems.push(Problem::new(
+            location,
+            ProblemKind::InvalidPrefix { prefix },
+        ));
     }
     let total: u64 = draft.services.iter().map(|s| u64::from(s.weight)).sum();
     if total == 0 {
-        problems.push(Problem::new(place, ProblemKind::NoWeight));
+        problems.push(Problem::new(location, ProblemKind::ZeroWeight));
     }
     let mut shares = Vec::with_capacity(draft.services.len());
     for share in draft.services {
@@ -276,7 +279,7 @@
             }),
             None => {
                 let name = share.service;
-                problems.push(Problem::new(place, ProblemKind::UnknownService { name }));
+                problems.push(Problem::new(location, ProblemKind::UnknownService { name }));
             }
         }
     }
--- a/crates/forward/src/config/mod.rs
+++ b/crates/forward/src/config/mod.rs
@@ -15,5 +15,5 @@
 pub use draft::{ConfigDraft, RouteDraft, ShareDraft};
 pub use forward_config::{Bounds, ForwardConfig, RouteMatch};
 pub use problem::{Problem, ProblemKind};
-pub use route::{Kind, Route, ServiceShare};
+pub use route::{Route, RouteKind, ServiceShare};
 pub use service::{Engine, Service};
--- a/crates/forward/src/config/problem.rs
+++ b/crates/forward/src/config/problem.rs
@@ -13,19 +13,19 @@
     },
     /// Two routes have the same host and prefix.
     #[display("has the host and prefix of {first}")]
-    SamePlace {
+    DuplicateRoute {
         /// Location of the earlier route.
         first: String,
     },
     /// The weights of a route add up to 0.
     #[display("has weights that add up to 0")]
-    NoWeight,
+    ZeroWeight,
     /// A route has a timeout of 0.
     #[display("has a timeout of 0")]
-    NoTimeout,
+    ZeroTimeout,
     /// A prefix does not begin and end with a slash.
     #[display("has the prefix {prefix:?}, which does not begin and end with a slash")]
-    BadPrefix {
+    InvalidPrefix {
         /// The prefix.
         prefix: String,
     },
@@ -37,13 +37,13 @@
     },
     /// Two services or accounts have the same name.
     #[display("has the name of {first}")]
-    SameName {
+    DuplicateName {
         /// Location of the earlier one.
         first: String,
     },
     /// A value is missing or of another type.
     #[display("{what}")]
-    Unreadable {
+    Malformed {
         /// What was expected, and what was found.
         what: String,
     },
@@ -51,20 +51,20 @@
 
 /// A problem of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("{place}: {kind}")]
+#[display("{location}: {kind}")]
 pub struct Problem {
     /// Its location, as a path from the root.
-    pub place: String,
+    pub location: String,
     /// Its kind.
     pub kind: ProblemKind,
 }
 
 impl Problem {
-    /// A problem at `place`.
+    /// A problem at `location`.
     #[must_use]
-    pub fn new(place: impl Into<String>, kind: ProblemKind) -> Self {
+    pub fn new(location: impl Into<String>, kind: ProblemKind) -> Self {
         Self {
-            place: place.into(),
+            location: location.into(),
             kind,
         }
     }
--- a/crates/forward/src/config/route.rs
+++ b/crates/forward/src/config/route.rs
@@ -5,7 +5,7 @@
 
 /// Whether requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// Idempotent: may run more than once.
     Safe,
     /// Not idempotent: runs at most once.
@@ -17,13 +17,13 @@
     },
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request may run more than once.
     ///
     /// ```
-    /// use coltsfootnotch_forward::config::Kind;
-    /// assert!(Kind::Safe.is_idempotent());
-    /// assert!(!Kind::Streaming { resumable: false }.is_idempotent());
+    /// use coltsfootnotch_forward::config::RouteKind;
+    /// assert!(RouteKind::Safe.is_idempotent());
+    /// assert!(!RouteKind::Streaming { resumable: false }.is_idempotent());
     /// ```
     #[must_use]
     pub fn is_idempotent(self) -> bool {
@@ -56,7 +56,7 @@
     /// Path prefix, which begins and ends with a slash.
     pub prefix: Arc<str>,
     /// Whether its requests may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Time limit for an answer.
     pub timeout: Duration,
     /// Target time to the answer or the first event.
--- a/crates/forward/src/follow.rs
+++ b/crates/forward/src/control_host.rs
@@ -12,57 +12,57 @@
 /// The connected control hosts and the one in use. `K` identifies a connection.
 ///
 /// ```
-/// use coltsfootnotch_forward::follow::Following;
-/// let mut following = Following::default();
-/// following.up("b", 1);
-/// following.up("a", 2);
-/// assert_eq!(following.followed(), Some(2));
-/// following.unanswered();
-/// assert_eq!(following.followed(), Some(1), "the next by name");
+/// use coltsfootnotch_forward::control_host::ControlHostSelector;
+/// let mut selector = ControlHostSelector::default();
+/// selector.add_link("b", 1);
+/// selector.add_link("a", 2);
+/// assert_eq!(selector.selected(), Some(2));
+/// selector.on_timeout();
+/// assert_eq!(selector.selected(), Some(1), "the next by name");
 /// ```
 #[derive(Debug, Clone)]
-pub struct Following<K> {
+pub struct ControlHostSelector<K> {
     links: BTreeMap<K, Arc<str>>,
-    followed: Option<K>,
+    selected: Option<K>,
 }
 
-impl<K> Default for Following<K> {
+impl<K> Default for ControlHostSelector<K> {
     fn default() -> Self {
         Self {
             links: BTreeMap::new(),
-            followed: None,
+            selected: None,
         }
     }
 }
 
-impl<K: Copy + Ord> Following<K> {
+impl<K: Copy + Ord> ControlHostSelector<K> {
     /// Adds the connection to a control host. Returns whether the host in use changed.
-    pub fn up(&mut self, host: &str, link: K) -> bool {
+    pub fn add_link(&mut self, host: &str, link: K) -> bool {
         self.links.insert(link, host.into());
-        let is_earlier = match self.followed.and_then(|link| self.links.get(&link)) {
-            Some(followed) => host < &**followed,
+        let is_earlier = match self.selected.and_then(|link| self.links.get(&link)) {
+            Some(selected) => host < &**selected,
             None => true,
         };
         if is_earlier {
-            self.followed = Some(link);
+            self.selected = Some(link);
         }
         is_earlier
     }
 
     /// Removes a connection that was closed or whose host cannot answer. Returns whether the host
     /// in use changed.
-    pub fn drop_link(&mut self, link: K) -> bool {
+    pub fn remove_link(&mut self, link: K) -> bool {
         self.links.remove(&link);
-        let was_followed = self.followed == Some(link);
-        if was_followed {
-            self.followed = self.first();
+        let was_selected = self.selected == Some(link);
+        if was_selected {
+            self.selected = self.first();
         }
-        was_followed
+        was_selected
     }
 
     /// The host in use did not answer: changes to the next by name, after the last to the first.
-    pub fn unanswered(&mut self) {
-        let Some(timed_out) = self.followed else {
+    pub fn on_timeout(&mut self) {
+        let Some(timed_out) = self.selected else {
             return;
         };
         let name = |link: K| self.links.get(&link).map(|host| (&**host, link));
@@ -72,19 +72,19 @@
             .copied()
             .filter(|k| name(*k) > name(timed_out));
         let next = later.min_by_key(|k| name(*k));
-        self.followed = next.or_else(|| self.first());
+        self.selected = next.or_else(|| self.first());
     }
 
     /// The connection to the host in use.
     #[must_use]
-    pub fn followed(&self) -> Option<K> {
-        self.followed
+    pub fn selected(&self) -> Option<K> {
+        self.selected
     }
 
     /// The connections to the other hosts.
     pub fn others(&self) -> impl Iterator<Item = K> {
         let links = self.links.keys().copied();
-        links.filter(|link| self.followed != Some(*link))
+        links.filter(|link| self.selected != Some(*link))
     }
 
     fn first(&self) -> Option<K> {
--- a/crates/forward/src/lease.rs
+++ b/crates/forward/src/lease.rs
@@ -17,11 +17,11 @@
 /// use coltsfootnotch_forward::lease::ConfigLease;
 /// let at = Duration::from_millis;
 /// let mut lease = ConfigLease::new(at(4000));
-/// lease.confirmed(at(100), 7);
-/// assert!(lease.holds(at(4000), 7));
-/// assert!(!lease.holds(at(4100), 7), "counted from the query");
-/// assert!(lease.holds(at(4000), 8), "newer than the confirmed one");
-/// assert!(!lease.holds(at(4000), 6), "older than the confirmed one");
+/// lease.renew(at(100), 7);
+/// assert!(lease.is_valid(at(4000), 7));
+/// assert!(!lease.is_valid(at(4100), 7), "counted from the query");
+/// assert!(lease.is_valid(at(4000), 8), "newer than the confirmed one");
+/// assert!(!lease.is_valid(at(4000), 6), "older than the confirmed one");
 /// ```
 #[derive(Debug, Clone)]
 pub struct ConfigLease {
@@ -41,7 +41,7 @@
 
     /// Records the control group's confirmation, to a query sent at `requested_at`, that `number`
     /// was the newest.
-    pub fn confirmed(&mut self, requested_at: Duration, number: u64) {
+    pub fn renew(&mut self, requested_at: Duration, number: u64) {
         let is_latest = self.confirmed.is_none_or(|(at, _)| requested_at >= at);
         if is_latest {
             self.confirmed = Some((requested_at, number));
@@ -50,7 +50,7 @@
 
     /// Whether a host with configuration `number` may serve it.
     #[must_use]
-    pub fn holds(&self, now: Duration, number: u64) -> bool {
+    pub fn is_valid(&self, now: Duration, number: u64) -> bool {
         let Some((requested_at, newest)) = self.confirmed else {
             return false;
         };
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -7,36 +7,36 @@
 //! | module | decides |
 //! |---|---|
 //! | [`config`] | which route and client account a request belongs to, and whether a configuration is valid |
-//! | [`book`] | which upstreams exist, from their announcements |
-//! | [`follow`] | which control host is used |
+//! | [`registry`] | which upstreams exist, from their announcements |
+//! | [`control_host`] | which control host is used |
 //! | [`lease`] | whether the configuration may still be served |
 //! | [`load`] | what all entries together have sent to each upstream, and how fast it is |
 //! | [`share`] | which client accounts use more than their fair share |
 //! | [`place`] | which upstream a request goes to, or that it is refused |
-//! | [`awake`] | whether requests have waited through a pause of the process |
+//! | [`pause_detector`] | whether requests have waited through a pause of the process |
 //! | [`overload`] | whether callers are sent to another host |
 //! | [`retry`] | whether a request is retried at another upstream |
 //!
 //! Time is passed in as [`std::time::Duration`] since the start of the process.
 
-pub mod awake;
-pub mod book;
 pub mod config;
-pub mod follow;
+pub mod control_host;
 pub mod lease;
 pub mod load;
 pub mod overload;
+pub mod pause_detector;
 pub mod place;
+pub mod registry;
 pub mod retry;
 pub mod share;
 
 /// The most commonly used types.
 pub mod prelude {
-    pub use crate::book::{Announcement, Stage, Upstream, UpstreamBook};
-    pub use crate::config::{Account, ConfigDraft, ForwardConfig, Kind, Route, Service};
+    pub use crate::config::{Account, ConfigDraft, ForwardConfig, Route, RouteKind, Service};
     pub use crate::lease::ConfigLease;
     pub use crate::load::{FleetLoad, UpstreamLoads};
     pub use crate::place::{Placement, Refusal, place_engine, place_plain};
-    pub use crate::retry::{BrokenRequests, SecondSends};
+    pub use crate::registry::{Announcement, Stage, Upstream, UpstreamRegistry};
+    pub use crate::retry::{PoisonRequests, RetryBudget};
     pub use crate::share::FairShares;
 }
--- a/crates/forward/src/load/backlog_limit.rs
+++ b/crates/forward/src/load/backlog_limit.rs
@@ -91,7 +91,7 @@
     }
 
     /// Records that the limit kept a request from the engine, or nearly did.
-    pub fn note_in_the_way(&mut self, now: Duration) {
+    pub fn record_blocking(&mut self, now: Duration) {
         let time = now.saturating_sub(self.last_blocking).min(MAX_OBSERVATION);
         self.last_blocking = now;
         let growth = self.growth(now) * time.as_secs_f64();
--- a/crates/forward/src/load/kept_parts.rs
+++ b/crates/forward/src/load/cached_segments.rs
@@ -9,7 +9,7 @@
 
 /// A segment of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptSegment {
     /// Identifier of its text.
     pub id: u64,
     /// Its size in tokens.
@@ -27,24 +27,24 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_forward::load::{KeptParts, Part};
-/// let (a, b) = (Part { id: 1, tokens: 100 }, Part { id: 2, tokens: 300 });
-/// let mut cached = KeptParts::default();
-/// cached.note(Duration::ZERO, b, 1_000);
-/// assert_eq!(cached.tokens_of(&[a, b]), 0, "the segment before it is not cached");
-/// cached.note(Duration::ZERO, a, 1_000);
-/// assert_eq!(cached.tokens_of(&[a, b]), 400);
+/// use coltsfootnotch_forward::load::{CachedSegments, PromptSegment};
+/// let (a, b) = (PromptSegment { id: 1, tokens: 100 }, PromptSegment { id: 2, tokens: 300 });
+/// let mut cached = CachedSegments::default();
+/// cached.record(Duration::ZERO, b, 1_000);
+/// assert_eq!(cached.cached_prefix_tokens(&[a, b]), 0, "the segment before it is not cached");
+/// cached.record(Duration::ZERO, a, 1_000);
+/// assert_eq!(cached.cached_prefix_tokens(&[a, b]), 400);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct KeptParts {
+pub struct CachedSegments {
     segments: HashMap<u64, CachedSegment>,
     tokens: u64,
 }
 
-impl KeptParts {
+impl CachedSegments {
     /// Records that a segment was sent, and evicts the least recently used ones beyond `capacity`
     /// tokens. Returns whether the segment was not cached before.
-    pub fn note(&mut self, now: Duration, segment: Part, capacity: u64) -> bool {
+    pub fn record(&mut self, now: Duration, segment: PromptSegment, capacity: u64) -> bool {
         let cached = CachedSegment {
             tokens: segment.tokens,
             last_used: now,
@@ -60,7 +60,7 @@
 
     /// Tokens of the leading `segments` that are cached.
     #[must_use]
-    pub fn tokens_of(&self, segments: &[Part]) -> u64 {
+    pub fn cached_prefix_tokens(&self, segments: &[PromptSegment]) -> u64 {
         let cached = segments
             .iter()
             .take_while(|p| self.segments.contains_key(&p.id));
@@ -69,7 +69,7 @@
 
     /// Whether the segment is cached.
     #[must_use]
-    pub fn holds(&self, id: u64) -> bool {
+    pub fn contains(&self, id: u64) -> bool {
         self.segments.contains_key(&id)
     }
 
--- a/crates/forward/src/load/fleet_load.rs
+++ b/crates/forward/src/load/fleet_load.rs
@@ -30,7 +30,7 @@
 /// The load reports of all entries. `K` identifies a connection to an entry.
 ///
 /// Requests at an upstream are taken from each entry's last report; counters (service, failures)
-/// are summed until [`FleetLoad::next_period`].
+/// are summed until [`FleetLoad::start_period`].
 #[derive(Debug, Clone)]
 pub struct FleetLoad<K> {
     entries: HashMap<K, Entry>,
@@ -46,7 +46,7 @@
 
 impl<K: Eq + Hash> FleetLoad<K> {
     /// Records a report.
-    pub fn take(&mut self, now: Duration, from: K, load: LoadWord) {
+    pub fn record(&mut self, now: Duration, from: K, load: LoadWord) {
         let entry = self.entries.entry(from).or_default();
         entry.last_seen = now;
         entry.period.add(&load);
@@ -54,7 +54,7 @@
     }
 
     /// Removes the entry of a closed connection.
-    pub fn forget(&mut self, from: &K) {
+    pub fn remove(&mut self, from: &K) {
         self.entries.remove(from);
     }
 
@@ -78,7 +78,7 @@
     /// Totals of all entries but `receiver` in this period, given `totals` computed once for all
     /// receivers: summing the others for each receiver is quadratic in the number of entries.
     #[must_use]
-    pub fn without(&self, now: Duration, totals: &Totals, receiver: &K) -> LoadWord {
+    pub fn excluding(&self, now: Duration, totals: &Totals, receiver: &K) -> LoadWord {
         let excluded = self.entries.get(receiver).filter(|e| is_live(now, e));
         let others = self.entries.iter().filter(|(key, _)| *key != receiver);
         let others: Vec<_> = others.map(|(_, e)| e).filter(|e| is_live(now, e)).collect();
@@ -96,7 +96,7 @@
     }
 
     /// Starts a new period, after the last one was sent to every entry.
-    pub fn next_period(&mut self, now: Duration) {
+    pub fn start_period(&mut self, now: Duration) {
         self.entries.retain(|_, e| is_live(now, e));
         for entry in self.entries.values_mut() {
             entry.period = Period::default();
--- a/crates/forward/src/load/held.rs
+++ b/crates/forward/src/load/in_flight.rs
@@ -6,7 +6,7 @@
 
 /// Requests at an upstream that have not finished.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct InFlight {
     /// Uncached prompt tokens of requests without a first event.
     pub waiting_tokens: u64,
     /// Requests that have not finished.
@@ -15,7 +15,7 @@
     pub held_tokens: u64,
 }
 
-impl AddAssign for Held {
+impl AddAssign for InFlight {
     fn add_assign(&mut self, other: Self) {
         self.waiting_tokens += other.waiting_tokens;
         self.running += other.running;
@@ -23,7 +23,7 @@
     }
 }
 
-impl From<&UpstreamUse> for Held {
+impl From<&UpstreamUse> for InFlight {
     fn from(usage: &UpstreamUse) -> Self {
         Self {
             waiting_tokens: usage.waiting_tokens,
--- a/crates/forward/src/load/mod.rs
+++ b/crates/forward/src/load/mod.rs
@@ -7,22 +7,22 @@
 //! two transits old (some 200 ms).
 
 mod backlog_limit;
+mod cached_segments;
 mod fleet_load;
-mod held;
-mod kept_parts;
+mod in_flight;
 mod period;
-mod speed;
-mod standing;
+mod slowdown;
+mod upstream_health;
 mod upstream_load;
 mod upstream_loads;
 
 pub use backlog_limit::BacklogLimit;
+pub use cached_segments::{CachedSegments, PromptSegment};
 pub use fleet_load::{FleetLoad, Totals};
-pub use held::Held;
-pub use kept_parts::{KeptParts, Part};
+pub use in_flight::InFlight;
 pub use period::reporting_period;
-pub use speed::Speed;
-pub(crate) use speed::decay;
-pub use standing::Standing;
-pub use upstream_load::{Sent, UpstreamLoad};
+pub use slowdown::Slowdown;
+pub(crate) use slowdown::decay;
+pub use upstream_health::UpstreamHealth;
+pub use upstream_load::{SentRequest, UpstreamLoad};
 pub use upstream_loads::UpstreamLoads;
--- a/crates/forward/src/load/speed.rs
+++ b/crates/forward/src/load/slowdown.rs
@@ -22,23 +22,23 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_forward::load::Speed;
-/// let mut speed = Speed::default();
-/// assert_eq!(speed.factor(Duration::ZERO), 1.0);
+/// use coltsfootnotch_forward::load::Slowdown;
+/// let mut slowdown = Slowdown::default();
+/// assert_eq!(slowdown.factor(Duration::ZERO), 1.0);
 /// for _ in 0..10 {
-///     speed.observe(Duration::ZERO, 500.0, 100.0);
+///     slowdown.observe(Duration::ZERO, 500.0, 100.0);
 /// }
-/// assert!(speed.factor(Duration::ZERO) > 3.0);
-/// assert!(speed.factor(Duration::from_secs(9)) < 1.1, "decayed");
+/// assert!(slowdown.factor(Duration::ZERO) > 3.0);
+/// assert!(slowdown.factor(Duration::from_secs(9)) < 1.1, "decayed");
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Speed {
+pub struct Slowdown {
     took_ms: f64,
     expected_ms: f64,
     updated_at: Duration,
 }
 
-impl Speed {
+impl Slowdown {
     /// Records that requests took `took_ms` where `expected_ms` was expected.
     pub fn observe(&mut self, now: Duration, took_ms: f64, expected_ms: f64) {
         let remaining = decay(now.saturating_sub(self.updated_at), DECAY_TIME);
--- a/crates/forward/src/load/standing.rs
+++ b/crates/forward/src/load/upstream_health.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::speed::decay;
+use super::slowdown::decay;
 
 /// First backoff after a failed connection.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
@@ -21,14 +21,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_forward::load::Standing;
-/// let mut standing = Standing::default();
-/// standing.on_unreachable(Duration::ZERO);
-/// assert!(!standing.takes_work(Duration::from_millis(100)));
-/// assert!(standing.takes_work(Duration::from_millis(400)));
+/// use coltsfootnotch_forward::load::UpstreamHealth;
+/// let mut health = UpstreamHealth::default();
+/// health.on_unreachable(Duration::ZERO);
+/// assert!(!health.is_available(Duration::from_millis(100)));
+/// assert!(health.is_available(Duration::from_millis(400)));
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Standing {
+pub struct UpstreamHealth {
     backoff_until: Duration,
     unreachable_count: u32,
     failed: f64,
@@ -36,7 +36,7 @@
     updated_at: Duration,
 }
 
-impl Standing {
+impl UpstreamHealth {
     /// Records a failed connection, or an answer that never started.
     pub fn on_unreachable(&mut self, now: Duration) {
         let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.unreachable_count.min(8));
@@ -65,7 +65,7 @@
 
     /// Whether requests may be sent to it.
     #[must_use]
-    pub fn takes_work(&self, now: Duration) -> bool {
+    pub fn is_available(&self, now: Duration) -> bool {
         now >= self.backoff_until
     }
 }
--- a/crates/forward/src/load/upstream_loads.rs
+++ b/crates/forward/src/load/upstream_loads.rs
@@ -6,7 +6,7 @@
 
 use coltsfootnotch_wire::{LoadWord, PartUse, UpstreamUse};
 
-use super::{Part, UpstreamLoad};
+use super::{PromptSegment, UpstreamLoad};
 
 /// Load of every upstream as seen by this entry, by identity and run.
 #[derive(Debug, Clone, Default)]
@@ -41,12 +41,18 @@
 
     /// Records the shared segments of a prompt that was sent, of which the upstream caches up to
     /// `capacity` tokens.
-    pub fn note_parts(&mut self, now: Duration, id: &Arc<str>, segments: &[Part], capacity: u64) {
+    pub fn record_segments(
+        &mut self,
+        now: Duration,
+        id: &Arc<str>,
+        segments: &[PromptSegment],
+        capacity: u64,
+    ) {
         let Some((_, load)) = self.by_id.get_mut(id) else {
             return;
         };
         for segment in segments {
-            if load.kept.note(now, *segment, capacity) {
+            if load.cached.record(now, *segment, capacity) {
                 self.unreported.push(PartUse {
                     upstream: id.to_string(),
                     part: segment.id,
@@ -58,27 +64,27 @@
 
     /// Applies the totals of the other entries; `capacity` gives the cache size of an upstream in
     /// tokens.
-    pub fn take_others(
+    pub fn apply_remote(
         &mut self,
         now: Duration,
         report: &LoadWord,
         capacity: impl Fn(&str) -> u64,
     ) {
         for (_, load) in self.by_id.values_mut() {
-            load.clear_others();
+            load.clear_remote();
         }
         for used in &report.upstreams {
             if let Some((_, load)) = self.by_id.get_mut(used.id.as_str()) {
-                load.take_others(now, used);
+                load.apply_remote(now, used);
             }
         }
         for used in &report.parts {
             if let Some((_, load)) = self.by_id.get_mut(used.upstream.as_str()) {
-                let segment = Part {
+                let segment = PromptSegment {
                     id: used.part,
                     tokens: used.tokens,
                 };
-                load.kept.note(now, segment, capacity(&used.upstream));
+                load.cached.record(now, segment, capacity(&used.upstream));
             }
         }
     }
@@ -93,6 +99,6 @@
     /// Removes upstreams that `keep` rejects and that have no request of this entry.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.by_id
-            .retain(|id, (_, load)| keep(id) || load.own().running > 0);
+            .retain(|id, (_, load)| keep(id) || load.local_in_flight().running > 0);
     }
 }
--- a/crates/forward/src/overload.rs
+++ b/crates/forward/src/overload.rs
@@ -72,7 +72,7 @@
 
     /// Share of requests that is refused before they are read.
     #[must_use]
-    pub fn refused_part(&self) -> f64 {
+    pub fn refused_share(&self) -> f64 {
         self.refused_share
     }
 
--- a/crates/forward/src/awake.rs
+++ b/crates/forward/src/pause_detector.rs
@@ -20,23 +20,23 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_forward::awake::Awake;
+/// use coltsfootnotch_forward::pause_detector::PauseDetector;
 /// let at = Duration::from_millis;
-/// let awake = Awake::default();
-/// awake.tick(at(100));
-/// assert!(!awake.has_stood_still(at(300)));
-/// assert!(awake.has_stood_still(at(5_000)), "the tick is five seconds late");
-/// assert!(awake.tick(at(5_010)));
-/// assert!(awake.has_stood_still(at(5_300)));
-/// assert!(!awake.has_stood_still(at(5_500)));
+/// let pause_detector = PauseDetector::default();
+/// pause_detector.tick(at(100));
+/// assert!(!pause_detector.should_refuse(at(300)));
+/// assert!(pause_detector.should_refuse(at(5_000)), "the tick is five seconds late");
+/// assert!(pause_detector.tick(at(5_010)));
+/// assert!(pause_detector.should_refuse(at(5_300)));
+/// assert!(!pause_detector.should_refuse(at(5_500)));
 /// ```
 #[derive(Debug, Default)]
-pub struct Awake {
+pub struct PauseDetector {
     last_tick_ms: AtomicU64,
     refuse_until_ms: AtomicU64,
 }
 
-impl Awake {
+impl PauseDetector {
     /// Records the regular tick. Returns whether the process was paused since the last one.
     pub fn tick(&self, now: Duration) -> bool {
         let previous = self.last_tick_ms.swap(millis(now), Ordering::Relaxed);
@@ -50,7 +50,7 @@
 
     /// Whether requests that are read now have waited through a pause.
     #[must_use]
-    pub fn has_stood_still(&self, now: Duration) -> bool {
+    pub fn should_refuse(&self, now: Duration) -> bool {
         let last_tick = self.last_tick_ms.load(Ordering::Relaxed);
         let is_late = last_tick > 0 && millis(now) > last_tick + millis(PAUSE_THRESHOLD);
         is_late || millis(now) < self.refuse_until_ms.load(Ordering::Relaxed)
--- a/crates/forward/src/place/admission.rs
+++ b/crates/forward/src/place/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Ask;
+use super::PlacementRequest;
 use super::rendezvous::distance;
 use crate::load::UpstreamLoad;
 
@@ -33,16 +33,16 @@
 
 /// Longest wait at an engine for an account within its fair share, in milliseconds: what leaves
 /// room for the target, and what the engine's streams tolerate.
-pub(super) fn wait_bound_ms(ask: &Ask<'_>, load: &UpstreamLoad) -> f64 {
-    let target_limit = ask.tightest.mul_f64(MAX_WAIT_SHARE);
-    let stall_limit = ask.gap.map(|gap| load.backlog.get(gap));
+pub(super) fn wait_bound_ms(request: &PlacementRequest<'_>, load: &UpstreamLoad) -> f64 {
+    let target_limit = request.shortest_target.mul_f64(MAX_WAIT_SHARE);
+    let stall_limit = request.shortest_gap.map(|gap| load.backlog.get(gap));
     let bound = stall_limit.map_or(target_limit, |limit| limit.min(target_limit));
     bound.as_secs_f64() * 1e3
 }
 
 /// Multiple of the wait bound for the request's account.
-pub(super) fn account_factor(ask: &Ask<'_>) -> f64 {
-    let Some(pressure) = ask.pressure else {
+pub(super) fn account_factor(request: &PlacementRequest<'_>) -> f64 {
+    let Some(pressure) = request.pressure else {
         return 1.0;
     };
     let (from, to) = SHARE_BAND;
@@ -53,9 +53,9 @@
 }
 
 /// Whether the account is above its fair share.
-pub(super) fn is_above_share(ask: &Ask<'_>) -> bool {
+pub(super) fn is_above_share(request: &PlacementRequest<'_>) -> bool {
     let (_, above) = SHARE_BAND;
-    ask.fraction < 1.0 || ask.pressure.is_some_and(|p| p >= above)
+    request.fair_fraction < 1.0 || request.pressure.is_some_and(|p| p >= above)
 }
 
 /// Whether a request of an account above its fair share is admitted at an engine where `wait` of at
@@ -64,11 +64,11 @@
 ///
 /// A bound alone admits every request at an engine that looks idle, which it does to all entries
 /// for a whole reporting period; each of them then overfills it.
-pub(super) fn is_admitted(ask: &Ask<'_>, wait: Duration, bound: Duration) -> bool {
-    if ask.fraction >= 1.0 {
+pub(super) fn is_admitted(request: &PlacementRequest<'_>, wait: Duration, bound: Duration) -> bool {
+    if request.fair_fraction >= 1.0 {
         return true;
     }
     let fill_ratio = wait.as_secs_f64() / bound.as_secs_f64();
     let gain = GAIN_WHEN_EMPTY - (GAIN_WHEN_EMPTY - 1.0) * fill_ratio;
-    distance(ask.turn, ADMISSION_KEY) < ask.fraction * gain
+    distance(request.tie_breaker, ADMISSION_KEY) < request.fair_fraction * gain
 }
--- a/crates/forward/src/place/engine.rs
+++ b/crates/forward/src/place/engine.rs
@@ -6,8 +6,8 @@
 use super::rendezvous::distance;
 use super::shortlist::Shortlist;
 use super::target::{Candidate, Placement};
-use super::{Ask, Pace, Refusal, RefusalReason};
-use crate::load::Sent;
+use super::{PlacementRequest, PrefillRate, Refusal, RefusalReason};
+use crate::load::SentRequest;
 
 /// Share of an engine's memory for running requests. Cached segments need the rest, and answers can
 /// be longer than stated.
@@ -41,16 +41,17 @@
 /// [`Refusal`] when no engine would start it in time, or its account has used its share.
 pub fn place_engine<'a>(
     now: Duration,
-    ask: &Ask<'_>,
-    pace: Pace,
+    request: &PlacementRequest<'_>,
+    prefill_rate: PrefillRate,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
 ) -> Result<Placement, Refusal> {
-    let usable = |c: &Candidate<'_>| !ask.avoid.contains(c.id) && c.load.standing().takes_work(now);
+    let usable =
+        |c: &Candidate<'_>| !request.avoid.contains(c.id) && c.load.health().is_available(now);
     let usable: Vec<_> = candidates.into_iter().filter(usable).collect();
-    let shortlist = Shortlist::new(ask, pace, &usable);
-    let mut comparison = Comparison::new(now, ask, pace, shortlist.max_cached);
-    shortlist.iter(ask).for_each(|c| comparison.compare(c));
-    if comparison.best.is_none() && ask.fraction >= 1.0 {
+    let shortlist = Shortlist::new(request, prefill_rate, &usable);
+    let mut comparison = Comparison::new(now, request, prefill_rate, shortlist.max_cached);
+    shortlist.iter(request).for_each(|c| comparison.compare(c));
+    if comparison.best.is_none() && request.fair_fraction >= 1.0 {
         // An account within its share is refused only if all engines are saturated.
         usable.iter().for_each(|c| comparison.compare(c));
     }
@@ -60,8 +61,8 @@
 /// The result of the comparison so far.
 struct Comparison<'a, 'b> {
     now: Duration,
-    ask: &'a Ask<'b>,
-    pace: Pace,
+    request: &'a PlacementRequest<'b>,
+    prefill_rate: PrefillRate,
     /// Multiple of the wait bound for the request's account.
     factor: f64,
     max_cached: u64,
@@ -71,12 +72,17 @@
 }
 
 impl<'a, 'b> Comparison<'a, 'b> {
-    fn new(now: Duration, ask: &'a Ask<'b>, pace: Pace, max_cached: u64) -> Self {
+    fn new(
+        now: Duration,
+        request: &'a PlacementRequest<'b>,
+        prefill_rate: PrefillRate,
+        max_cached: u64,
+    ) -> Self {
         Self {
             now,
-            ask,
-            pace,
-            factor: account_factor(ask),
+            request,
+            prefill_rate,
+            factor: account_factor(request),
             max_cached,
             best: None,
             min_excess_ms: None,
@@ -84,7 +90,13 @@
     }
 
     fn compare(&mut self, candidate: &Candidate<'_>) {
-        let estimate = Estimate::new(self.now, self.ask, self.pace, self.max_cached, candidate);
+        let estimate = Estimate::new(
+            self.now,
+            self.request,
+            self.prefill_rate,
+            self.max_cached,
+            candidate,
+        );
         let excess_ms = estimate.charged_wait_ms - estimate.bound_ms * self.factor;
         let min_excess = self.min_excess_ms.unwrap_or(f64::INFINITY);
         self.min_excess_ms = Some(min_excess.min(excess_ms));
@@ -108,12 +120,12 @@
 
     fn finish(self) -> Result<Placement, Refusal> {
         let Some((_, placement)) = self.best else {
-            return Err(refusal(self.ask, self.min_excess_ms, true));
+            return Err(refusal(self.request, self.min_excess_ms, true));
         };
-        if is_admitted(self.ask, placement.wait, placement.bound) {
+        if is_admitted(self.request, placement.wait, placement.bound) {
             return Ok(placement);
         }
-        Err(refusal(self.ask, self.min_excess_ms, false))
+        Err(refusal(self.request, self.min_excess_ms, false))
     }
 }
 
@@ -127,41 +139,41 @@
     bound_ms: f64,
     /// Cost by which engines are compared.
     cost: f64,
-    sent: Sent,
+    sent: SentRequest,
 }
 
 impl Estimate {
     fn new(
         now: Duration,
-        ask: &Ask<'_>,
-        pace: Pace,
+        request: &PlacementRequest<'_>,
+        prefill_rate: PrefillRate,
         max_cached: u64,
         candidate: &Candidate<'_>,
     ) -> Self {
         let load = candidate.load;
-        let held = load.held();
+        let in_flight = load.in_flight();
         let slowness = load.slowness(now);
-        let kept = load.kept.tokens_of(&ask.prompt.shared);
-        let uncached = ask.prompt.tokens.saturating_sub(kept);
-        let to_ms = |tokens: u64| tokens as f64 / pace.tokens_per_ms;
-        let queue_ms = to_ms(held.waiting_tokens);
-        let repeated_ms = to_ms(max_cached - kept) * REPEATED_PREFILL_WEIGHT;
-        let expected_ms = queue_ms + pace.base_ms + to_ms(uncached);
+        let cached = load.cached.cached_prefix_tokens(&request.prompt.shared);
+        let uncached = request.prompt.tokens.saturating_sub(cached);
+        let to_ms = |tokens: u64| tokens as f64 / prefill_rate.tokens_per_ms;
+        let queue_ms = to_ms(in_flight.waiting_tokens);
+        let repeated_ms = to_ms(max_cached - cached) * REPEATED_PREFILL_WEIGHT;
+        let expected_ms = queue_ms + prefill_rate.base_ms + to_ms(uncached);
         let mut cost = expected_ms * slowness + repeated_ms;
-        cost += load.standing().failure_rate(now) * FAILURE_COST_MS;
-        if candidate.domain != ask.domain {
+        cost += load.health().failure_rate(now) * FAILURE_COST_MS;
+        if candidate.domain != request.domain {
             cost += CROSS_DOMAIN_MS;
         }
-        if let Some(last) = ask.prompt.shared.last().filter(|_| max_cached == 0) {
+        if let Some(last) = request.prompt.shared.last().filter(|_| max_cached == 0) {
             cost += distance(last.id, candidate.id) * PREFERRED_ENGINE_MS;
         }
-        let sent = Sent {
-            unread_tokens: uncached,
-            held_tokens: uncached + ask.prompt.output_tokens,
+        let sent = SentRequest {
+            uncached_tokens: uncached,
+            held_tokens: uncached + request.prompt.output_tokens,
             expected_ms,
             at: now,
         };
-        let bound_ms = wait_bound_ms(ask, load);
+        let bound_ms = wait_bound_ms(request, load);
         Self {
             wait_ms: queue_ms * slowness,
             charged_wait_ms: queue_ms * slowness
@@ -176,20 +188,25 @@
 /// Whether the engine has a slot and memory for the request. A request larger than the memory fits
 /// an idle engine only, which decides itself.
 fn fits(candidate: &Candidate<'_>, tokens: u64) -> bool {
-    let held = candidate.load.held();
+    let in_flight = candidate.load.in_flight();
     let capacity = (candidate.memory_tokens as f64 * MEMORY_SHARE) as u64;
-    held.running < candidate.slots && (held.running == 0 || held.held_tokens + tokens <= capacity)
+    in_flight.running < candidate.slots
+        && (in_flight.running == 0 || in_flight.held_tokens + tokens <= capacity)
 }
 
-fn refusal(ask: &Ask<'_>, min_excess_ms: Option<f64>, is_crowded: bool) -> Refusal {
+fn refusal(
+    request: &PlacementRequest<'_>,
+    min_excess_ms: Option<f64>,
+    is_saturated: bool,
+) -> Refusal {
     let reason = match min_excess_ms {
         None => RefusalReason::NoUpstream,
-        Some(_) if is_above_share(ask) => RefusalReason::OverShare,
-        Some(_) => RefusalReason::Full,
+        Some(_) if is_above_share(request) => RefusalReason::OverShare,
+        Some(_) => RefusalReason::Saturated,
     };
     let excess = min_excess_ms.unwrap_or(0.0).max(0.0);
     let mut retry_after = MIN_RETRY_AFTER + Duration::from_secs_f64(excess / 1e3);
-    let pressure = ask.pressure.unwrap_or(0.0);
+    let pressure = request.pressure.unwrap_or(0.0);
     if pressure > 1.0 {
         // Its usage decays to its share in this time if nothing more of it is admitted.
         retry_after = retry_after.max(crate::share::DECAY_TIME.mul_f64(pressure.ln()));
@@ -197,6 +214,6 @@
     Refusal {
         reason,
         retry_after,
-        is_crowded: is_crowded && min_excess_ms.is_some(),
+        is_saturated: is_saturated && min_excess_ms.is_some(),
     }
 }
--- a/crates/forward/src/place/mod.rs
+++ b/crates/forward/src/place/mod.rs
@@ -13,16 +13,16 @@
 //! than for those above.
 
 mod admission;
-mod ask;
 mod engine;
 mod plain;
 mod refusal;
 mod rendezvous;
+mod request;
 mod shortlist;
 mod target;
 
-pub use ask::{Ask, Pace, Prompt};
 pub use engine::place_engine;
 pub use plain::place_plain;
 pub use refusal::{Refusal, RefusalReason};
+pub use request::{PlacementRequest, PrefillRate, Prompt};
 pub use target::{Candidate, Placement};
--- a/crates/forward/src/place/plain.rs
+++ b/crates/forward/src/place/plain.rs
@@ -6,7 +6,7 @@
 use super::rendezvous::distance;
 use super::target::{Candidate, Placement};
 use super::{Refusal, RefusalReason};
-use crate::load::Sent;
+use crate::load::SentRequest;
 
 /// Most requests queued at an upstream, as a multiple of its slots.
 const QUEUE_PER_SLOT: u32 = 2;
@@ -28,8 +28,8 @@
 /// Retry delay; a queue is worked off in this time.
 const RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Chooses the upstream of a plain service with the fewest requests ahead in its queue. `turn`
-/// differs between requests and breaks ties.
+/// Chooses the upstream of a plain service with the fewest requests ahead in its queue.
+/// `tie_breaker` differs between requests.
 ///
 /// # Errors
 /// [`Refusal`] when every upstream is saturated.
@@ -37,24 +37,24 @@
     now: Duration,
     domain: &str,
     avoid: &[Arc<str>],
-    turn: u64,
+    tie_breaker: u64,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
 ) -> Result<Placement, Refusal> {
     let mut best: Option<(f64, &Arc<str>)> = None;
     let mut has_candidates = false;
     for candidate in candidates {
-        let standing = candidate.load.standing();
-        if avoid.contains(candidate.id) || !standing.takes_work(now) {
+        let health = candidate.load.health();
+        if avoid.contains(candidate.id) || !health.is_available(now) {
             continue;
         }
         has_candidates = true;
-        let running = candidate.load.held().running;
+        let running = candidate.load.in_flight().running;
         if running >= candidate.slots.max(1) * (1 + QUEUE_PER_SLOT) {
             continue;
         }
         let mut cost = f64::from(running) * candidate.load.slowness(now);
-        cost += standing.failure_rate(now) * FAILURE_COST_REQUESTS;
-        cost += distance(turn, candidate.id) * TIE_BREAK_REQUESTS;
+        cost += health.failure_rate(now) * FAILURE_COST_REQUESTS;
+        cost += distance(tie_breaker, candidate.id) * TIE_BREAK_REQUESTS;
         if candidate.domain != domain {
             cost += CROSS_DOMAIN_REQUESTS;
         }
@@ -64,20 +64,20 @@
     }
     let Some((_, id)) = best else {
         let reason = if has_candidates {
-            RefusalReason::Full
+            RefusalReason::Saturated
         } else {
             RefusalReason::NoUpstream
         };
         return Err(Refusal {
             reason,
             retry_after: RETRY_AFTER,
-            is_crowded: has_candidates,
+            is_saturated: has_candidates,
         });
     };
     Ok(Placement {
         id: id.clone(),
-        sent: Sent {
-            unread_tokens: 0,
+        sent: SentRequest {
+            uncached_tokens: 0,
             held_tokens: 0,
             expected_ms: EXPECTED_MS,
             at: now,
--- a/crates/forward/src/place/refusal.rs
+++ b/crates/forward/src/place/refusal.rs
@@ -12,7 +12,7 @@
     NoUpstream,
     /// Every upstream is saturated.
     #[display("all upstreams full")]
-    Full,
+    Saturated,
     /// As before, and the client account is above its fair share.
     #[display("account over its share")]
     OverShare,
@@ -26,5 +26,5 @@
     /// Delay after which a retry may succeed.
     pub retry_after: Duration,
     /// Whether every upstream compared is saturated.
-    pub is_crowded: bool,
+    pub is_saturated: bool,
 }
--- a/crates/forward/src/place/ask.rs
+++ b/crates/forward/src/place/request.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::load::Part;
+use crate::load::PromptSegment;
 
 /// A prompt as described by the caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -12,21 +12,21 @@
     /// Most tokens of the answer.
     pub output_tokens: u64,
     /// Its segments in order, except the last, which is unique to the request.
-    pub shared: Vec<Part>,
+    pub shared: Vec<PromptSegment>,
 }
 
 impl Prompt {
     /// Service units of the request: prompt tokens that are not shared, plus twice the answer's
     /// tokens, which cost an engine about twice as much.
     #[must_use]
-    pub fn units(&self) -> u64 {
+    pub fn service_units(&self) -> u64 {
         let shared: u64 = self.shared.iter().map(|p| u64::from(p.tokens)).sum();
         self.tokens.saturating_sub(shared) + 2 * self.output_tokens
     }
 
     /// Estimated longest time from the first event of the answer to its end.
     #[must_use]
-    pub fn longest_run(&self) -> Duration {
+    pub fn max_answer_time(&self) -> Duration {
         let tokens = u32::try_from(self.output_tokens).unwrap_or(u32::MAX);
         TIME_PER_TOKEN.saturating_mul(tokens)
     }
@@ -38,7 +38,7 @@
 
 /// Prefill performance of a healthy engine of the service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct PrefillRate {
     /// Prompt tokens per millisecond.
     pub tokens_per_ms: f64,
     /// Time to the first event of a fully cached prompt, in milliseconds.
@@ -47,24 +47,24 @@
 
 /// A request to be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// Its prompt.
     pub prompt: &'a Prompt,
     /// Usage of its account relative to its fair share, while the fleet is saturated; see
     /// [`crate::share::FairShares::pressure`].
     pub pressure: Option<f64>,
     /// Fraction of its account's demand that is within its fair share; see
-    /// [`crate::share::FairShares::fraction`].
-    pub fraction: f64,
+    /// [`crate::share::FairShares::fair_fraction`].
+    pub fair_fraction: f64,
     /// The shortest target of the service's routes, which limits the wait at an engine.
-    pub tightest: Duration,
+    pub shortest_target: Duration,
     /// The shortest target of the service's routes for pauses of a stream, which limits the backlog
     /// of an engine. None where no route states one.
-    pub gap: Option<Duration>,
+    pub shortest_gap: Option<Duration>,
     /// The failure domain of this entry.
     pub domain: &'a str,
     /// Differs between requests; breaks ties.
-    pub turn: u64,
+    pub tie_breaker: u64,
     /// Upstreams at which the request has failed.
     pub avoid: &'a [std::sync::Arc<str>],
 }
--- a/crates/forward/src/place/shortlist.rs
+++ b/crates/forward/src/place/shortlist.rs
@@ -7,7 +7,7 @@
 //! two reports, and a loaded engine still gets less.
 
 use super::target::Candidate;
-use super::{Ask, Pace};
+use super::{PlacementRequest, PrefillRate};
 use crate::place::rendezvous::distance;
 
 /// Prefill time of cached segments, in milliseconds, from which the engines that cache them are
@@ -26,18 +26,23 @@
 }
 
 impl<'a, 'b> Shortlist<'a, 'b> {
-    pub(super) fn new(ask: &Ask<'_>, pace: Pace, usable: &'b [Candidate<'a>]) -> Self {
-        let cached_tokens = |c: &Candidate<'_>| c.load.kept.tokens_of(&ask.prompt.shared);
+    pub(super) fn new(
+        request: &PlacementRequest<'_>,
+        prefill_rate: PrefillRate,
+        usable: &'b [Candidate<'a>],
+    ) -> Self {
+        let cached_tokens =
+            |c: &Candidate<'_>| c.load.cached.cached_prefix_tokens(&request.prompt.shared);
         let max_cached = usable.iter().map(cached_tokens).max().unwrap_or(0);
-        let subject = ask.prompt.shared.last().filter(|_| max_cached == 0);
+        let subject = request.prompt.shared.last().filter(|_| max_cached == 0);
         let preferred = subject.and_then(|subject| {
             let rank = |c: &Candidate<'_>| distance(subject.id, c.id);
             let closer = |a: &usize, b: &usize| rank(&usable[*a]).total_cmp(&rank(&usable[*b]));
             (0..usable.len()).min_by(closer)
         });
         Self {
-            sampled: sample_two(ask.turn, usable.len()),
-            includes_caching: max_cached as f64 / pace.tokens_per_ms >= MIN_CACHED_MS,
+            sampled: sample_two(request.tie_breaker, usable.len()),
+            includes_caching: max_cached as f64 / prefill_rate.tokens_per_ms >= MIN_CACHED_MS,
             usable,
             preferred,
             max_cached,
@@ -45,10 +50,18 @@
     }
 
     /// The engines to compare.
-    pub(super) fn iter(&self, ask: &Ask<'_>) -> impl Iterator<Item = &'b Candidate<'a>> {
+    pub(super) fn iter(
+        &self,
+        request: &PlacementRequest<'_>,
+    ) -> impl Iterator<Item = &'b Candidate<'a>> {
         let is_listed = move |(index, candidate): &(usize, &Candidate<'_>)| {
-            let caches_most =
-                || candidate.load.kept.tokens_of(&ask.prompt.shared) == self.max_cached;
+            let caches_most = || {
+                candidate
+                    .load
+                    .cached
+                    .cached_prefix_tokens(&request.prompt.shared)
+                    == self.max_cached
+            };
             self.sampled.contains(index)
                 || self.preferred == Some(*index)
                 || self.includes_caching && caches_most()
@@ -59,9 +72,9 @@
 }
 
 /// Two different indices below `len`, or as many as there are.
-fn sample_two(turn: u64, len: usize) -> [usize; 2] {
+fn sample_two(tie_breaker: u64, len: usize) -> [usize; 2] {
     let len = len.max(1) as u64;
-    let first = turn % len;
-    let step = 1 + (turn >> 32) % (len - 1).max(1);
+    let first = tie_breaker % len;
+    let step = 1 + (tie_breaker >> 32) % (len - 1).max(1);
     [first as usize, ((first + step) % len) as usize]
 }
--- a/crates/forward/src/place/target.rs
+++ b/crates/forward/src/place/target.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::load::{Sent, UpstreamLoad};
+use crate::load::{SentRequest, UpstreamLoad};
 
 /// An upstream that may be chosen.
 #[derive(Debug, Clone, Copy)]
@@ -26,7 +26,7 @@
     /// Identity of the upstream.
     pub id: Arc<str>,
     /// The request's load at the upstream until it finishes.
-    pub sent: Sent,
+    pub sent: SentRequest,
     /// Expected wait before the engine prefills it.
     pub wait: Duration,
     /// Limit on the wait for an account within its fair share.
--- a/crates/forward/src/book/mod.rs
+++ b/crates/forward/src/registry/mod.rs
@@ -2,8 +2,8 @@
 
 mod announcement;
 mod upstream;
-mod upstream_book;
+mod upstream_registry;
 
 pub use announcement::{Announcement, Stage};
 pub use upstream::Upstream;
-pub use upstream_book::{News, UpstreamBook};
+pub use upstream_registry::{RegistryUpdate, UpstreamRegistry};
--- a/crates/forward/src/book/upstream.rs
+++ b/crates/forward/src/registry/upstream.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
     /// Its newest announcement.
-    pub said: Announcement,
+    pub announcement: Announcement,
     /// When it was received.
-    pub heard: Duration,
+    pub last_seen: Duration,
 }
--- a/crates/forward/src/book/upstream_book.rs
+++ b/crates/forward/src/registry/upstream_registry.rs
@@ -27,11 +27,11 @@
 
 /// What an announcement changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum RegistryUpdate {
     /// Nothing: it is out of date, or of a run that has ended.
     Stale,
     /// Only the time of last contact.
-    Alive,
+    Refreshed,
     /// The upstream is new, or its announcement differs from the previous one.
     Changed,
 }
@@ -40,8 +40,8 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_forward::book::{Announcement, News, Stage, UpstreamBook};
-/// let said = Announcement {
+/// use coltsfootnotch_forward::registry::{Announcement, RegistryUpdate, Stage, UpstreamRegistry};
+/// let announcement = Announcement {
 ///     id: "spec-1".into(),
 ///     born_ms: 5,
 ///     sequence: 1,
@@ -52,15 +52,15 @@
 ///     stage: Stage::Ready,
 ///     warming: Duration::ZERO,
 /// };
-/// let mut book = UpstreamBook::default();
-/// assert_eq!(book.take(Duration::ZERO, said.clone()), News::Changed);
-/// assert_eq!(book.take(Duration::ZERO, said), News::Stale, "a duplicate");
+/// let mut registry = UpstreamRegistry::default();
+/// assert_eq!(registry.apply(Duration::ZERO, announcement.clone()), RegistryUpdate::Changed);
+/// assert_eq!(registry.apply(Duration::ZERO, announcement), RegistryUpdate::Stale, "a duplicate");
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct UpstreamBook {
+pub struct UpstreamRegistry {
     by_id: BTreeMap<Arc<str>, Upstream>,
-    left: BTreeMap<Arc<str>, Departure>,
+    departures: BTreeMap<Arc<str>, Departure>,
 }
 
 /// The departure of an upstream; without a start time if no run was named.
@@ -70,72 +70,82 @@
     at: Duration,
 }
 
-impl UpstreamBook {
+impl UpstreamRegistry {
     /// Applies an announcement.
-    pub fn take(&mut self, now: Duration, said: Announcement) -> News {
-        if self.is_of_departed_run(now, &said) {
-            return News::Stale;
+    pub fn apply(&mut self, now: Duration, announcement: Announcement) -> RegistryUpdate {
+        if self.is_of_departed_run(now, &announcement) {
+            return RegistryUpdate::Stale;
         }
-        let current = self.by_id.get(&said.id);
-        if current.is_some_and(|k| !is_later(&said, &k.said)) {
-            return News::Stale;
+        let current = self.by_id.get(&announcement.id);
+        if current.is_some_and(|k| !is_later(&announcement, &k.announcement)) {
+            return RegistryUpdate::Stale;
         }
         if current.is_none() && self.by_id.len() >= MAX_UPSTREAMS {
-            return News::Stale;
+            return RegistryUpdate::Stale;
         }
-        if self.has_later_run_at_address(&said) {
-            return News::Stale;
+        if self.has_later_run_at_address(&announcement) {
+            return RegistryUpdate::Stale;
         }
-        let news = match current {
-            Some(current) if is_repeat(&current.said, &said) => News::Alive,
-            _ => News::Changed,
+        let update = match current {
+            Some(current) if is_repeat(&current.announcement, &announcement) => {
+                RegistryUpdate::Refreshed
+            }
+            _ => RegistryUpdate::Changed,
+        };
+        self.retire_earlier_at_address(&announcement);
+        let upstream = Upstream {
+            announcement,
+            last_seen: now,
         };
-        self.retire_earlier_at_address(&said);
-        let upstream = Upstream { said, heard: now };
-        self.by_id.insert(upstream.said.id.clone(), upstream);
-        news
+        self.by_id
+            .insert(upstream.announcement.id.clone(), upstream);
+        update
     }
 
     /// Records a keep-alive of the upstream, numbered `sequence` within its run.
-    pub fn sign(&mut self, now: Duration, id: &str, born_ms: u64, sequence: u64) {
+    pub fn refresh(&mut self, now: Duration, id: &str, born_ms: u64, sequence: u64) {
         let Some(current) = self.by_id.get_mut(id) else {
             return;
         };
-        let is_it = current.said.born_ms == born_ms && current.said.stage != Stage::Left;
-        if is_it && sequence > current.said.sequence {
-            current.said.sequence = sequence;
-            current.heard = now;
+        let is_current_run =
+            current.announcement.born_ms == born_ms && current.announcement.stage != Stage::Left;
+        if is_current_run && sequence > current.announcement.sequence {
+            current.announcement.sequence = sequence;
+            current.last_seen = now;
         }
     }
 
     /// Records that the upstream leaves, also if it is not in the registry: it may have announced
     /// itself to another host. Returns false if an earlier run than the current one is named.
-    pub fn leave(&mut self, now: Duration, id: &str, born_ms: Option<u64>) -> bool {
+    pub fn mark_left(&mut self, now: Duration, id: &str, born_ms: Option<u64>) -> bool {
         if let Some(current) = self.by_id.get_mut(id) {
-            if born_ms.is_some_and(|born| born < current.said.born_ms) {
+            if born_ms.is_some_and(|born| born < current.announcement.born_ms) {
                 return false;
             }
-            current.said.stage = Stage::Left;
-            current.heard = now;
+            current.announcement.stage = Stage::Left;
+            current.last_seen = now;
         }
-        if self.left.len() < MAX_UPSTREAMS {
-            self.left.insert(id.into(), Departure { born_ms, at: now });
+        if self.departures.len() < MAX_UPSTREAMS {
+            self.departures
+                .insert(id.into(), Departure { born_ms, at: now });
         }
         true
     }
 
     /// Upstreams that announced that they leave, with the start of the run where it was named.
-    pub fn left(&self) -> impl Iterator<Item = (&str, Option<u64>)> {
-        self.left.iter().map(|(id, left)| (&**id, left.born_ms))
+    pub fn departed(&self) -> impl Iterator<Item = (&str, Option<u64>)> {
+        self.departures
+            .iter()
+            .map(|(id, left)| (&**id, left.born_ms))
     }
 
     /// Whether an announcement belongs to a run that has left.
-    fn is_of_departed_run(&self, now: Duration, said: &Announcement) -> bool {
-        let Some(left) = self.left.get(&said.id) else {
+    fn is_of_departed_run(&self, now: Duration, announcement: &Announcement) -> bool {
+        let Some(left) = self.departures.get(&announcement.id) else {
             return false;
         };
         match left.born_ms {
-            Some(born) => said.born_ms <= born,
+            Some(born) => announcement.born_ms <= born,
             None => now.saturating_sub(left.at) < MAX_ANNOUNCEMENT_DELAY,
         }
     }
@@ -153,61 +163,66 @@
 
     /// The upstreams of `service` that accept requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Upstream> {
-        let is_ready =
-            move |u: &&Upstream| u.said.stage == Stage::Ready && &*u.said.service == service;
+        let is_ready = move |u: &&Upstream| {
+            u.announcement.stage == Stage::Ready && &*u.announcement.service == service
+        };
         self.by_id.values().filter(is_ready)
     }
 
     /// Removes upstreams without contact for `silence`, and departures past their retention.
     /// Returns the upstreams removed for silence.
     pub fn expire(&mut self, now: Duration, silence: Duration) -> Vec<Announcement> {
-        self.left
+        self.departures
             .retain(|_, left| now.saturating_sub(left.at) < DEPARTURE_RETENTION);
         let mut silent = Vec::new();
         self.by_id.retain(|_, u| {
-            let idle = now.saturating_sub(u.heard);
-            if u.said.stage == Stage::Left {
+            let idle = now.saturating_sub(u.last_seen);
+            if u.announcement.stage == Stage::Left {
                 return idle < DEPARTURE_RETENTION;
             }
             if idle >= silence {
-                silent.push(u.said.clone());
+                silent.push(u.announcement.clone());
             }
             idle < silence
         });
         silent
     }
 
-    fn has_later_run_at_address(&self, said: &Announcement) -> bool {
-        let same_address = |u: &&Upstream| u.said.address == said.address && u.said.id != said.id;
+    fn has_later_run_at_address(&self, announcement: &Announcement) -> bool {
+        let same_address = |u: &&Upstream| {
+            u.announcement.address == announcement.address && u.announcement.id != announcement.id
+        };
         let mut at_address = self.by_id.values().filter(same_address);
-        at_address.any(|u| u.said.born_ms > said.born_ms)
+        at_address.any(|u| u.announcement.born_ms > announcement.born_ms)
     }
 
-    fn retire_earlier_at_address(&mut self, said: &Announcement) {
+    fn retire_earlier_at_address(&mut self, announcement: &Announcement) {
         for other in self.by_id.values_mut() {
-            if other.said.address == said.address && other.said.id != said.id {
-                other.said.stage = Stage::Left;
+            if other.announcement.address == announcement.address
+                && other.announcement.id != announcement.id
+            {
+                other.announcement.stage = Stage::Left;
             }
         }
     }
 }
 
-/// Whether `announced` supersedes `current` of the same identity.
-fn is_later(said: &Announcement, current: &Announcement) -> bool {
-    if said.born_ms != current.born_ms {
-        return said.born_ms > current.born_ms;
+/// Whether `announcement` supersedes `current` of the same identity.
+fn is_later(announcement: &Announcement, current: &Announcement) -> bool {
+    if announcement.born_ms != current.born_ms {
+        return announcement.born_ms > current.born_ms;
     }
     // A run that is leaving never becomes ready again; announcements may be reordered.
-    let advances = said.stage > current.stage;
-    let goes_back = said.stage < current.stage;
-    advances || (!goes_back && said.sequence > current.sequence)
+    let advances = announcement.stage > current.stage;
+    let goes_back = announcement.stage < current.stage;
+    advances || (!goes_back && announcement.sequence > current.sequence)
 }
 
-fn is_repeat(current: &Announcement, said: &Announcement) -> bool {
+fn is_repeat(current: &Announcement, announcement: &Announcement) -> bool {
     let renumbered = Announcement {
         sequence: current.sequence,
         warming: current.warming,
-        ..said.clone()
+        ..announcement.clone()
     };
     renumbered == *current
 }
--- a/crates/forward/src/retry/mod.rs
+++ b/crates/forward/src/retry/mod.rs
@@ -3,8 +3,8 @@
 //! When upstreams fail, unlimited retries multiply the load while capacity is lowest, and a request
 //! that crashes its upstream takes down one after the other if it is resent.
 
-mod broken_requests;
-mod second_sends;
+mod poison_requests;
+mod retry_budget;
 
-pub use broken_requests::BrokenRequests;
-pub use second_sends::{RetryBound, SecondSends};
+pub use poison_requests::PoisonRequests;
+pub use retry_budget::{RetryBudget, RetryLimit};
--- a/crates/forward/src/retry/broken_requests.rs
+++ b/crates/forward/src/retry/poison_requests.rs
@@ -32,32 +32,32 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_forward::retry::BrokenRequests;
+/// use coltsfootnotch_forward::retry::PoisonRequests;
 /// use coltsfootnotch_wire::BreakWord;
-/// let mut crash = BrokenRequests::default();
+/// let mut poison = PoisonRequests::default();
 /// let now = Duration::from_secs(1);
-/// crash.note(now, BreakWord { content: 7, run: 1 });
-/// crash.note(now, BreakWord { content: 7, run: 2 });
-/// assert!(!crash.is_refused(now, 7));
-/// crash.note(now, BreakWord { content: 7, run: 3 });
-/// assert!(crash.is_refused(now, 7));
+/// poison.record(now, BreakWord { content: 7, run: 1 });
+/// poison.record(now, BreakWord { content: 7, run: 2 });
+/// assert!(!poison.is_refused(now, 7));
+/// poison.record(now, BreakWord { content: 7, run: 3 });
+/// assert!(poison.is_refused(now, 7));
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct BrokenRequests {
+pub struct PoisonRequests {
     by_content: HashMap<u64, Crashes>,
     unreported: Vec<BreakWord>,
     cleared: Vec<u64>,
 }
 
-impl BrokenRequests {
+impl PoisonRequests {
     /// Records that an upstream crashed while it ran a request of this entry with the content.
-    pub fn note_own(&mut self, now: Duration, crash: BreakWord) {
+    pub fn record_local(&mut self, now: Duration, crash: BreakWord) {
         self.unreported.push(crash);
-        self.note(now, crash);
+        self.record(now, crash);
     }
 
     /// Records the same for a request of another entry.
-    pub fn note(&mut self, now: Duration, crash: BreakWord) {
+    pub fn record(&mut self, now: Duration, crash: BreakWord) {
         if self.by_content.len() >= MAX_CONTENTS {
             self.by_content
                 .retain(|_, b| now.saturating_sub(b.last) < RETENTION);
@@ -77,14 +77,14 @@
     }
 
     /// Records that a request of this entry with the content succeeded.
-    pub fn note_own_success(&mut self, content: u64) {
+    pub fn record_local_success(&mut self, content: u64) {
         if self.by_content.remove(&content).is_some() {
             self.cleared.push(content);
         }
     }
 
     /// Records the same for a request of another entry.
-    pub fn note_success(&mut self, content: u64) {
+    pub fn record_success(&mut self, content: u64) {
         self.by_content.remove(&content);
     }
 
--- a/crates/forward/src/retry/second_sends.rs
+++ b/crates/forward/src/retry/retry_budget.rs
@@ -13,7 +13,7 @@
 
 /// The operator's limit on retries, per service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryBound {
+pub struct RetryLimit {
     /// Retries per request in a window.
     pub ratio: f64,
     /// Retries in a window regardless of requests, over all entries.
@@ -35,26 +35,26 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_forward::retry::{RetryBound, SecondSends};
-/// let bound = RetryBound { ratio: 0.2, slack: 30.0, window: Duration::from_secs(10) };
-/// let mut retries = SecondSends::new(bound);
+/// use coltsfootnotch_forward::retry::{RetryLimit, RetryBudget};
+/// let limit = RetryLimit { ratio: 0.2, slack: 30.0, window: Duration::from_secs(10) };
+/// let mut budget = RetryBudget::new(limit);
 /// let now = Duration::from_secs(1);
-/// assert!(retries.try_take(now, "orders", 10));
-/// let more = (0..10).filter(|_| retries.try_take(now, "orders", 10)).count();
+/// assert!(budget.try_acquire(now, "orders", 10));
+/// let more = (0..10).filter(|_| budget.try_acquire(now, "orders", 10)).count();
 /// assert_eq!(more, 1, "a tenth of the slack, less the margin");
 /// ```
 #[derive(Debug, Clone)]
-pub struct SecondSends {
-    bound: RetryBound,
+pub struct RetryBudget {
+    limit: RetryLimit,
     by_service: HashMap<Arc<str>, VecDeque<(u64, Bucket)>>,
 }
 
-impl SecondSends {
+impl RetryBudget {
     /// An unused budget.
     #[must_use]
-    pub fn new(bound: RetryBound) -> Self {
+    pub fn new(limit: RetryLimit) -> Self {
         Self {
-            bound,
+            limit,
             by_service: HashMap::new(),
         }
     }
@@ -66,13 +66,13 @@
 
     /// Takes one retry from the budget, if it has one; `entries` is the number of entries that
     /// share the limit.
-    pub fn try_take(&mut self, now: Duration, service: &str, entries: u32) -> bool {
+    pub fn try_acquire(&mut self, now: Duration, service: &str, entries: u32) -> bool {
         self.bucket(now, service);
         let buckets = &self.by_service[service];
         let requests: u32 = buckets.iter().map(|(_, p)| p.requests).sum();
         let retries: u32 = buckets.iter().map(|(_, p)| p.retries).sum();
-        let slack = self.bound.slack / f64::from(entries.max(1));
-        let allowed = (f64::from(requests) * self.bound.ratio + slack) * USED_SHARE;
+        let slack = self.limit.slack / f64::from(entries.max(1));
+        let allowed = (f64::from(requests) * self.limit.ratio + slack) * USED_SHARE;
         if f64::from(retries + 1) > allowed {
             return false;
         }
@@ -83,7 +83,7 @@
     /// The current bucket, after removing those before the window.
     fn bucket(&mut self, now: Duration, service: &str) -> &mut Bucket {
         let number = (now.as_millis() / BUCKET.as_millis()) as u64;
-        let retained = (self.bound.window.as_millis() / BUCKET.as_millis()) as u64 + 1;
+        let retained = (self.limit.window.as_millis() / BUCKET.as_millis()) as u64 + 1;
         if !self.by_service.contains_key(service) {
             self.by_service.insert(service.into(), VecDeque::new());
         }
--- a/crates/forward/src/share/fair_shares.rs
+++ b/crates/forward/src/share/fair_shares.rs
@@ -43,10 +43,10 @@
 /// let (flood, small): (Arc<str>, Arc<str>) = ("flood".into(), "small".into());
 /// let mut shares = FairShares::default();
 /// let now = Duration::from_secs(1);
-/// shares.ask(now, &flood, 9_000);
-/// shares.admit(now, &flood, 5_000);
-/// shares.ask(now, &small, 1_000);
-/// shares.admit(now, &small, 1_000);
+/// shares.record_requested(now, &flood, 9_000);
+/// shares.record_admitted(now, &flood, 5_000);
+/// shares.record_requested(now, &small, 1_000);
+/// shares.record_admitted(now, &small, 1_000);
 /// assert!(shares.pressure(now, &flood).unwrap() > 0.99);
 /// assert!(shares.pressure(now, &small).unwrap() < 0.3);
 /// ```
@@ -64,7 +64,7 @@
 
 impl FairShares {
     /// Records the demand of a request of `units` service units.
-    pub fn ask(&mut self, now: Duration, account: &Arc<str>, units: u64) {
+    pub fn record_requested(&mut self, now: Duration, account: &Arc<str>, units: u64) {
         self.decay(now);
         let used = self.by_account.entry(account.clone()).or_default();
         used.demand += units as f64;
@@ -73,7 +73,7 @@
     }
 
     /// Records that a request of `units` service units is sent to an upstream.
-    pub fn admit(&mut self, now: Duration, account: &Arc<str>, units: u64) {
+    pub fn record_admitted(&mut self, now: Duration, account: &Arc<str>, units: u64) {
         self.decay(now);
         let used = self.by_account.entry(account.clone()).or_default();
         used.admitted += units as f64;
@@ -81,7 +81,7 @@
     }
 
     /// Applies the usage at the other entries.
-    pub fn take_others(&mut self, now: Duration, report: &LoadWord) {
+    pub fn apply_remote(&mut self, now: Duration, report: &LoadWord) {
         self.decay(now);
         for other in &report.accounts {
             let used = self.by_account.entry(other.account.as_str().into());
@@ -93,12 +93,12 @@
 
     /// Sets the capacity of all engines together that the operator states, in service units per
     /// second.
-    pub fn state_capacity(&mut self, units_per_s: f64) {
+    pub fn set_capacity(&mut self, units_per_s: f64) {
         self.stated_capacity = units_per_s * DECAY_TIME.as_secs_f64();
     }
 
     /// This entry's share of the demand at all entries.
-    pub fn part_here(&mut self, now: Duration) -> f64 {
+    pub fn local_share(&mut self, now: Duration) -> f64 {
         self.decay(now);
         let total_demand: f64 = self.by_account.values().map(|u| u.demand).sum();
         self.local_demand / total_demand.max(MIN_UNITS)
@@ -137,13 +137,13 @@
     /// use coltsfootnotch_forward::share::FairShares;
     /// let flood: Arc<str> = "flood".into();
     /// let mut shares = FairShares::default();
-    /// shares.state_capacity(1_000.0);
+    /// shares.set_capacity(1_000.0);
     /// let now = Duration::from_secs(1);
-    /// shares.ask(now, &flood, 8_000);
-    /// shares.admit(now, &flood, 2_000);
-    /// assert_eq!(shares.fraction(now, &flood), 0.25);
+    /// shares.record_requested(now, &flood, 8_000);
+    /// shares.record_admitted(now, &flood, 2_000);
+    /// assert_eq!(shares.fair_fraction(now, &flood), 0.25);
     /// ```
-    pub fn fraction(&mut self, now: Duration, account: &str) -> f64 {
+    pub fn fair_fraction(&mut self, now: Duration, account: &str) -> f64 {
         if self.stated_capacity <= 0.0 {
             return 1.0;
         }
--- a/crates/forward/tests/testsuite/config.rs
+++ b/crates/forward/tests/testsuite/config.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_forward::config::{
-    Account, Bounds, ConfigDraft, ForwardConfig, Kind, RouteDraft, Service, ShareDraft,
+    Account, Bounds, ConfigDraft, ForwardConfig, RouteDraft, RouteKind, Service, ShareDraft,
 };
 use googletest::prelude::*;
 
@@ -21,7 +21,7 @@
         name: format!("{host}{prefix}"),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Safe,
+        kind: RouteKind::Safe,
         timeout: Duration::from_secs(1),
         target: None,
         gap: None,
@@ -141,7 +141,7 @@
 fn the_shortest_pause_comes_from_streams_with_a_target() {
     let gap = |ms| Some(Duration::from_millis(ms));
     let stream = |prefix, gap| RouteDraft {
-        kind: Kind::Streaming { resumable: true },
+        kind: RouteKind::Streaming { resumable: true },
         gap,
         ..route("a.example", prefix, &[("spec", 1)])
     };
--- a/crates/forward/tests/testsuite/engines.rs
+++ b/crates/forward/tests/testsuite/engines.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_forward::load::{Sent, UpstreamLoads};
+use coltsfootnotch_forward::load::{SentRequest, UpstreamLoads};
 use coltsfootnotch_forward::place::{
-    Ask, Candidate, Pace, Placement, Prompt, Refusal, place_engine,
+    Candidate, Placement, PlacementRequest, PrefillRate, Prompt, Refusal, place_engine,
 };
 
 /// Prefill rate of the simulated engines.
-pub(crate) const PACE: Pace = Pace {
+pub(crate) const PREFILL_RATE: PrefillRate = PrefillRate {
     tokens_per_ms: 25.0,
     base_ms: 35.0,
 };
@@ -20,9 +20,9 @@
 
 struct Running {
     engine: usize,
-    sent: Sent,
-    begins: Duration,
-    begun: bool,
+    sent: SentRequest,
+    first_event_at: Duration,
+    has_started: bool,
 }
 
 /// One entry and several engines, all in one domain.
@@ -33,7 +33,7 @@
     pub(crate) slowness: Vec<f64>,
     free_at: Vec<Duration>,
     running: Vec<Running>,
-    turn: u64,
+    tie_breaker: u64,
     /// Prefilled tokens of all engines.
     pub(crate) prefilled: u64,
     pub(crate) prefills_of_segment: HashMap<u64, u32>,
@@ -50,7 +50,7 @@
             slowness: vec![1.0; engines],
             free_at: vec![Duration::ZERO; engines],
             running: Vec::new(),
-            turn: 0,
+            tie_breaker: 0,
             prefilled: 0,
             prefills_of_segment: HashMap::new(),
             ids,
@@ -64,12 +64,12 @@
         for mut run in std::mem::take(&mut self.running) {
             let id = &self.ids[run.engine];
             let load = self.loads.get_mut(id, 1).expect("known");
-            if !run.begun && run.begins <= now {
-                load.on_begun(run.begins, &run.sent);
-                run.begun = true;
+            if !run.has_started && run.first_event_at <= now {
+                load.on_first_event(run.first_event_at, &run.sent);
+                run.has_started = true;
             }
-            if run.begun && run.begins + Duration::from_millis(300) <= now {
-                load.on_over(&run.sent, true);
+            if run.has_started && run.first_event_at + Duration::from_millis(300) <= now {
+                load.on_finished(&run.sent, true);
                 load.on_succeeded(now);
             } else {
                 remaining.push(run);
@@ -86,15 +86,15 @@
         pressure: impl Into<Option<f64>>,
     ) -> Result<(usize, Duration), Refusal> {
         self.work(now);
-        self.turn += 1;
-        let ask = Ask {
+        self.tie_breaker += 1;
+        let request = PlacementRequest {
             prompt,
             pressure: pressure.into(),
-            fraction: 1.0,
-            tightest: TARGET,
-            gap: None,
+            fair_fraction: 1.0,
+            shortest_target: TARGET,
+            shortest_gap: None,
             domain: "colombo",
-            turn: self.turn,
+            tie_breaker: self.tie_breaker,
             avoid: &[],
         };
         let loads = &self.loads;
@@ -105,7 +105,7 @@
             memory_tokens: 235_664,
             load: loads.get(id, 1).expect("known"),
         });
-        let placement = place_engine(now, &ask, PACE, candidates)?;
+        let placement = place_engine(now, &request, PREFILL_RATE, candidates)?;
         Ok(self.run(now, prompt, &placement))
     }
 
@@ -117,24 +117,24 @@
             .expect("known");
         let id = self.ids[engine].clone();
         let load = self.loads.get_mut(&id, 1).expect("known");
-        for part in prompt.shared.iter().filter(|p| !load.kept.holds(p.id)) {
+        for part in prompt.shared.iter().filter(|p| !load.cached.contains(p.id)) {
             *self.prefills_of_segment.entry(part.id).or_default() += 1;
         }
-        self.prefilled += placed.sent.unread_tokens;
+        self.prefilled += placed.sent.uncached_tokens;
         load.on_sent(&placed.sent);
         self.loads
-            .note_parts(now, &id, &prompt.shared, CACHE_TOKENS);
-        let prefill = placed.sent.unread_tokens as f64 / PACE.tokens_per_ms / 1e3;
+            .record_segments(now, &id, &prompt.shared, CACHE_TOKENS);
+        let prefill = placed.sent.uncached_tokens as f64 / PREFILL_RATE.tokens_per_ms / 1e3;
         let prefill = Duration::from_secs_f64(prefill * self.slowness[engine]);
         let starts = self.free_at[engine].max(now);
         self.free_at[engine] = starts + prefill;
-        let begins = self.free_at[engine] + Duration::from_millis(35);
+        let first_event_at = self.free_at[engine] + Duration::from_millis(35);
         self.running.push(Running {
             engine,
             sent: placed.sent,
-            begins,
-            begun: false,
+            first_event_at,
+            has_started: false,
         });
-        (engine, begins)
+        (engine, first_event_at)
     }
 }
--- a/crates/forward/tests/testsuite/load.rs
+++ b/crates/forward/tests/testsuite/load.rs
@@ -3,15 +3,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_forward::load::{FleetLoad, Part, Sent, UpstreamLoads};
+use coltsfootnotch_forward::load::{FleetLoad, PromptSegment, SentRequest, UpstreamLoads};
 use coltsfootnotch_wire::LoadWord;
 use googletest::prelude::*;
 
 const NOW: Duration = Duration::from_secs(1);
 
-fn sent(tokens: u64) -> Sent {
-    Sent {
-        unread_tokens: tokens,
+fn sent(tokens: u64) -> SentRequest {
+    SentRequest {
+        uncached_tokens: tokens,
         held_tokens: tokens,
         expected_ms: 100.0,
         at: NOW,
@@ -27,8 +27,8 @@
     }
 }
 
-fn without<K: Eq + std::hash::Hash>(fleet: &FleetLoad<K>, now: Duration, key: &K) -> LoadWord {
-    fleet.without(now, &fleet.totals(now), key)
+fn excluding<K: Eq + std::hash::Hash>(fleet: &FleetLoad<K>, now: Duration, key: &K) -> LoadWord {
+    fleet.excluding(now, &fleet.totals(now), key)
 }
 
 #[googletest::test]
@@ -38,14 +38,14 @@
     for entry in 0..3_u32 {
         let mut loads = UpstreamLoads::default();
         loads.entry(&id, 1).on_sent(&sent(100));
-        fleet.take(NOW, entry, report(&mut loads));
+        fleet.record(NOW, entry, report(&mut loads));
     }
-    let received = without(&fleet, NOW, &1);
+    let received = excluding(&fleet, NOW, &1);
     expect_that!(received.upstreams[0].running, eq(2));
     expect_that!(received.upstreams[0].waiting_tokens, eq(200));
     expect_that!(fleet.entries(NOW), eq(3));
     expect_that!(
-        without(&fleet, NOW + Duration::from_secs(3), &1).upstreams,
+        excluding(&fleet, NOW + Duration::from_secs(3), &1).upstreams,
         is_empty()
     );
 }
@@ -56,13 +56,13 @@
     let mut loads = UpstreamLoads::default();
     loads.entry(&id, 1).on_sent(&sent(100));
     loads.entry(&id, 1).on_failed(NOW);
-    loads.note_parts(NOW, &id, &[Part { id: 9, tokens: 50 }], 1_000);
+    loads.record_segments(NOW, &id, &[PromptSegment { id: 9, tokens: 50 }], 1_000);
     let mut fleet = FleetLoad::default();
-    fleet.take(NOW, "a", report(&mut loads));
-    let first = without(&fleet, NOW, &"b");
+    fleet.record(NOW, "a", report(&mut loads));
+    let first = excluding(&fleet, NOW, &"b");
     expect_that!((first.upstreams[0].failed, first.parts.len()), eq((1, 1)));
-    fleet.next_period(NOW);
-    let second = without(&fleet, NOW, &"b");
+    fleet.start_period(NOW);
+    let second = excluding(&fleet, NOW, &"b");
     expect_that!((second.upstreams[0].failed, second.parts.len()), eq((0, 0)));
     expect_that!(second.upstreams[0].running, eq(1));
 }
@@ -74,6 +74,6 @@
     let id: Arc<str> = "spec-1".into();
     let mut loads = UpstreamLoads::default();
     loads.entry(&id, 1).on_sent(&sent(100));
-    expect_that!(loads.entry(&id, 2).held().running, eq(0));
+    expect_that!(loads.entry(&id, 2).in_flight().running, eq(0));
     expect_that!(loads.get_mut(&id, 1).is_some(), eq(false));
 }
--- a/crates/forward/tests/testsuite/main.rs
+++ b/crates/forward/tests/testsuite/main.rs
@@ -1,13 +1,13 @@
 //! Decisions of a forwarding entry.
 
-mod book;
 mod config;
+mod control_host;
 mod engines;
-mod follow;
 mod load;
 mod many_entries;
 mod overload;
 mod place;
+mod registry;
 mod retry;
 mod share;
 mod stalls;
--- a/crates/forward/tests/testsuite/many_entries/fleet.rs
+++ b/crates/forward/tests/testsuite/many_entries/fleet.rs
@@ -3,15 +3,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_forward::load::{FleetLoad, Sent, UpstreamLoads};
-use coltsfootnotch_forward::place::{Ask, Candidate, Pace, Prompt, place_engine};
+use coltsfootnotch_forward::load::{FleetLoad, SentRequest, UpstreamLoads};
+use coltsfootnotch_forward::place::{
+    Candidate, PlacementRequest, PrefillRate, Prompt, place_engine,
+};
 use coltsfootnotch_forward::share::FairShares;
 use coltsfootnotch_wire::LoadWord;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 /// Prefill rate of one engine.
-const PACE: Pace = Pace {
+const PREFILL_RATE: PrefillRate = PrefillRate {
     tokens_per_ms: 112.0,
     base_ms: 35.0,
 };
@@ -36,9 +38,9 @@
 struct Running {
     entry: usize,
     engine: usize,
-    sent: Sent,
-    begins: Duration,
-    begun: bool,
+    sent: SentRequest,
+    first_event_at: Duration,
+    has_started: bool,
 }
 
 struct Entry {
@@ -69,10 +71,10 @@
 impl Fleet {
     pub(super) fn new(entries: usize, engines: usize) -> Self {
         let engines: Vec<Arc<str>> = (0..engines).map(|n| format!("engine-{n}").into()).collect();
-        let capacity = engines.len() as f64 * PACE.tokens_per_ms * 1e3;
+        let capacity = engines.len() as f64 * PREFILL_RATE.tokens_per_ms * 1e3;
         let entry = || {
             let mut shares = FairShares::default();
-            shares.state_capacity(capacity);
+            shares.set_capacity(capacity);
             let mut loads = UpstreamLoads::default();
             for id in &engines {
                 loads.entry(id, 1);
@@ -94,7 +96,7 @@
 
     /// Service units per second that the engines can prefill.
     pub(super) fn capacity(&self) -> f64 {
-        self.engines.len() as f64 * PACE.tokens_per_ms * 1e3
+        self.engines.len() as f64 * PREFILL_RATE.tokens_per_ms * 1e3
     }
 
     /// Simulates a load for a time. Returns the outcomes by account, and the share of the time that
@@ -132,19 +134,19 @@
             output_tokens: 0,
             shared: Vec::new(),
         };
-        let turn = self.rng.random();
+        let tie_breaker = self.rng.random();
         let Entry { loads, shares } = &mut self.entries[entry];
-        let units = prompt.units();
-        shares.ask(self.now, account, units);
+        let units = prompt.service_units();
+        shares.record_requested(self.now, account, units);
         outcomes.requests += 1;
-        let ask = Ask {
+        let request = PlacementRequest {
             prompt: &prompt,
             pressure: shares.pressure(self.now, account),
-            fraction: shares.fraction(self.now, account),
-            tightest: TARGET,
-            gap: None,
+            fair_fraction: shares.fair_fraction(self.now, account),
+            shortest_target: TARGET,
+            shortest_gap: None,
             domain: DOMAIN,
-            turn,
+            tie_breaker,
             avoid: &[],
         };
         let candidates = self.engines.iter().map(|id| Candidate {
@@ -154,25 +156,25 @@
             memory_tokens: 694_599,
             load: loads.get(id, 1).expect("known"),
         });
-        let Ok(placed) = place_engine(self.now, &ask, PACE, candidates) else {
+        let Ok(placed) = place_engine(self.now, &request, PREFILL_RATE, candidates) else {
             outcomes.refused += 1;
             return;
         };
-        shares.admit(self.now, account, units);
+        shares.record_admitted(self.now, account, units);
         outcomes.units += units;
         loads.entry(&placed.id, 1).on_sent(&placed.sent);
         let engine = self.engines.iter().position(|id| *id == placed.id);
         let engine = engine.expect("known");
-        let reading = Duration::from_secs_f64(tokens as f64 / PACE.tokens_per_ms / 1e3);
+        let reading = Duration::from_secs_f64(tokens as f64 / PREFILL_RATE.tokens_per_ms / 1e3);
         self.free_at[engine] = self.free_at[engine].max(self.now) + reading;
-        let begins = self.free_at[engine] + Duration::from_millis(35);
-        outcomes.late += u32::from(begins > self.now + TARGET);
+        let first_event_at = self.free_at[engine] + Duration::from_millis(35);
+        outcomes.late += u32::from(first_event_at > self.now + TARGET);
         self.running.push(Running {
             entry,
             engine,
             sent: placed.sent,
-            begins,
-            begun: false,
+            first_event_at,
+            has_started: false,
         });
     }
 
@@ -183,25 +185,25 @@
         for run in &mut self.running {
             let id = &self.engines[run.engine];
             let load = self.entries[run.entry].loads.entry(id, 1);
-            if !run.begun && run.begins <= now {
-                load.on_begun(now, &run.sent);
-                run.begun = true;
+            if !run.has_started && run.first_event_at <= now {
+                load.on_first_event(now, &run.sent);
+                run.has_started = true;
             }
-            if run.begun && run.begins + ANSWER <= now {
-                load.on_over(&run.sent, true);
+            if run.has_started && run.first_event_at + ANSWER <= now {
+                load.on_finished(&run.sent, true);
                 load.on_succeeded(now);
             }
         }
         self.running
-            .retain(|run| !run.begun || run.begins + ANSWER > now);
+            .retain(|run| !run.has_started || run.first_event_at + ANSWER > now);
     }
 
     /// Exchanges reports: they reach the control host now, and the other entries a period later.
     fn exchange_reports(&mut self) {
         let now = self.now;
         for (entry, report) in self.entries.iter_mut().zip(self.in_transit.drain(..)) {
-            entry.loads.take_others(now, &report, |_| 0);
-            entry.shares.take_others(now, &report);
+            entry.loads.apply_remote(now, &report, |_| 0);
+            entry.shares.apply_remote(now, &report);
         }
         for (n, entry) in self.entries.iter_mut().enumerate() {
             let (upstreams, parts) = entry.loads.report();
@@ -212,11 +214,11 @@
                 accounts,
                 ..LoadWord::default()
             };
-            self.control.take(now, n, report);
+            self.control.record(now, n, report);
         }
         let totals = self.control.totals(now);
-        let reports = (0..self.entries.len()).map(|n| self.control.without(now, &totals, &n));
+        let reports = (0..self.entries.len()).map(|n| self.control.excluding(now, &totals, &n));
         self.in_transit = reports.collect();
-        self.control.next_period(now);
+        self.control.start_period(now);
     }
 }
--- a/crates/forward/tests/testsuite/overload.rs
+++ b/crates/forward/tests/testsuite/overload.rs
@@ -37,7 +37,7 @@
     let mut overload = Overload::default();
     // Requests beyond what the host can read wait, unless they are refused.
     let wait = |overload: &Overload, sent: f64| {
-        let read = sent * (1.0 - overload.refused_part());
+        let read = sent * (1.0 - overload.refused_share());
         if read > 1.0 { at(200) } else { at(5) }
     };
     for n in 0..10 {
@@ -49,7 +49,7 @@
         let waited = wait(&overload, 0.2);
         overload.observe(at(100 * n), waited, 0.2);
     }
-    expect_that!(overload.refused_part(), eq(0.0));
+    expect_that!(overload.refused_share(), eq(0.0));
 }
 
 /// Bursts of a tenth of a second with pauses between them.
--- a/crates/forward/tests/testsuite/place.rs
+++ b/crates/forward/tests/testsuite/place.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfootnotch_forward::load::Part;
+use coltsfootnotch_forward::load::PromptSegment;
 use coltsfootnotch_forward::place::{Prompt, RefusalReason};
 use googletest::prelude::*;
 
@@ -19,11 +19,11 @@
         tokens: 9_190,
         output_tokens: 52,
         shared: vec![
-            Part {
+            PromptSegment {
                 id: 1_000_000 + subject % 4,
                 tokens: 2_520,
             },
-            Part {
+            PromptSegment {
                 id: subject,
                 tokens: 3_780,
             },
@@ -96,12 +96,12 @@
     for n in 0..3_000_u64 {
         let now = at(n * 2);
         match fleet.place(now, &short_prompt(), None) {
-            Ok((_, begins)) => {
+            Ok((_, first_event_at)) => {
                 served += 1;
-                late += usize::from(begins > now + TARGET);
+                late += usize::from(first_event_at > now + TARGET);
             }
             Err(refusal) => {
-                expect_that!(refusal.reason, eq(RefusalReason::Full));
+                expect_that!(refusal.reason, eq(RefusalReason::Saturated));
                 expect_that!(refusal.retry_after, lt(Duration::from_secs(1)));
             }
         }
@@ -180,8 +180,8 @@
     };
     let (busy, _) = fleet.place(at(0), &long, None).unwrap();
     for n in 1..20 {
-        let (engine, begins) = fleet.place(at(n * 10), &short_prompt(), None).unwrap();
+        let (engine, first_event_at) = fleet.place(at(n * 10), &short_prompt(), None).unwrap();
         expect_that!(engine, not(eq(busy)));
-        expect_that!(begins, le(at(n * 10) + TARGET));
+        expect_that!(first_event_at, le(at(n * 10) + TARGET));
     }
 }
--- a/crates/forward/tests/testsuite/retry.rs
+++ b/crates/forward/tests/testsuite/retry.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use coltsfootnotch_forward::retry::{BrokenRequests, RetryBound, SecondSends};
+use coltsfootnotch_forward::retry::{PoisonRequests, RetryBudget, RetryLimit};
 use coltsfootnotch_wire::BreakWord;
 use googletest::prelude::*;
 use proptest::prelude::{prop_assert, proptest};
 
-const BOUND: RetryBound = RetryBound {
+const LIMIT: RetryLimit = RetryLimit {
     ratio: 0.2,
     slack: 120.0,
     window: Duration::from_secs(10),
@@ -22,14 +22,14 @@
     ) {
         let mut arrivals = arrivals;
         arrivals.sort_by_key(|(_, at)| *at);
-        let mut entries: Vec<_> = (0..12).map(|_| SecondSends::new(BOUND)).collect();
+        let mut entries: Vec<_> = (0..12).map(|_| RetryBudget::new(LIMIT)).collect();
         let mut requests = Vec::new();
         let mut retries = Vec::new();
         for (entry, at) in arrivals {
             let now = Duration::from_millis(at);
             entries[entry].on_request(now, "spec");
             requests.push(at);
-            if entries[entry].try_take(now, "spec", 12) {
+            if entries[entry].try_acquire(now, "spec", 12) {
                 retries.push(at);
             }
         }
@@ -38,7 +38,7 @@
         };
         for from in (0..40_000).step_by(500) {
             let allowed = within(&requests, from).max(within(&requests, from.saturating_sub(5_000)));
-            prop_assert!(within(&retries, from) <= allowed * BOUND.ratio + BOUND.slack);
+            prop_assert!(within(&retries, from) <= allowed * LIMIT.ratio + LIMIT.slack);
         }
     }
 }
@@ -48,12 +48,12 @@
 #[googletest::test]
 fn a_request_that_crashes_upstreams_is_refused_everywhere() {
     let now = Duration::from_secs(5);
-    let mut entries = vec![BrokenRequests::default(); 3];
+    let mut entries = vec![PoisonRequests::default(); 3];
     for entry in 0..3 {
         let run = entry as u64;
         let bystander = 100 + run;
-        entries[entry].note_own(now, BreakWord { content: 7, run });
-        entries[entry].note_own(
+        entries[entry].record_local(now, BreakWord { content: 7, run });
+        entries[entry].record_local(
             now,
             BreakWord {
                 content: bystander,
@@ -61,9 +61,9 @@
             },
         );
         let (reported, _) = entries[entry].report();
-        for (other, broken) in entries.iter_mut().enumerate().filter(|(n, _)| *n != entry) {
+        for (other, poison) in entries.iter_mut().enumerate().filter(|(n, _)| *n != entry) {
             let _ = other;
-            reported.iter().for_each(|crash| broken.note(now, *crash));
+            reported.iter().for_each(|crash| poison.record(now, *crash));
         }
     }
     for entry in &entries {
@@ -80,11 +80,11 @@
 #[googletest::test]
 fn one_crash_counts_once_for_many_requests_with_one_content() {
     let now = Duration::from_secs(5);
-    let mut broken = BrokenRequests::default();
+    let mut poison = PoisonRequests::default();
     for _ in 0..10 {
-        broken.note_own(now, BreakWord { content: 7, run: 1 });
+        poison.record_local(now, BreakWord { content: 7, run: 1 });
     }
-    expect_that!(broken.is_refused(now, 7), eq(false));
+    expect_that!(poison.is_refused(now, 7), eq(false));
 }
 
 /// Popular content runs during crashes with other causes; a success between them, at any entry,
@@ -92,17 +92,17 @@
 #[googletest::test]
 fn a_content_that_succeeds_between_crashes_is_not_their_cause() {
     let now = Duration::from_secs(5);
-    let (mut local, mut remote) = (BrokenRequests::default(), BrokenRequests::default());
+    let (mut local, mut remote) = (PoisonRequests::default(), PoisonRequests::default());
     for run in 0..20 {
         let crash = BreakWord { content: 7, run };
-        local.note_own(now, crash);
-        remote.note(now, crash);
+        local.record_local(now, crash);
+        remote.record(now, crash);
         if run % 2 == 1 {
-            local.note_own_success(7);
+            local.record_local_success(7);
             let (_, cleared) = local.report();
             cleared
                 .iter()
-                .for_each(|content| remote.note_success(*content));
+                .for_each(|content| remote.record_success(*content));
         }
         expect_that!(local.is_refused(now, 7), eq(false));
         expect_that!(remote.is_refused(now, 7), eq(false));
--- a/crates/forward/tests/testsuite/share.rs
+++ b/crates/forward/tests/testsuite/share.rs
@@ -14,8 +14,8 @@
     let mut shares = FairShares::default();
     for (account, asked, admitted) in used {
         let account: Arc<str> = (*account).into();
-        shares.ask(NOW, &account, *asked);
-        shares.admit(NOW, &account, *admitted);
+        shares.record_requested(NOW, &account, *asked);
+        shares.record_admitted(NOW, &account, *admitted);
     }
     shares
 }
@@ -51,7 +51,7 @@
         }],
         ..LoadWord::default()
     };
-    shares.take_others(NOW, &report);
+    shares.apply_remote(NOW, &report);
     let local = shares.report();
     expect_that!(local.len(), eq(1));
     expect_that!(local[0].asked, eq(100));
@@ -64,8 +64,8 @@
     let mut shares = shares(&[("flood", 9_000, 3_000), ("small", 300, 300)]);
     expect_that!(shares.pressure(NOW, "flood"), some(gt(0.99)));
     let later = NOW + Duration::from_secs(8);
-    shares.ask(later, &"small".into(), 300);
-    shares.admit(later, &"small".into(), 300);
+    shares.record_requested(later, &"small".into(), 300);
+    shares.record_admitted(later, &"small".into(), 300);
     expect_that!(shares.pressure(later, "flood").unwrap_or(0.0), lt(0.3));
 }
 
--- a/crates/forward/tests/testsuite/stalls.rs
+++ b/crates/forward/tests/testsuite/stalls.rs
@@ -4,8 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_forward::load::{BacklogLimit, Sent, UpstreamLoads};
-use coltsfootnotch_forward::place::{Ask, Candidate, Pace, Prompt, place_engine};
+use coltsfootnotch_forward::load::{BacklogLimit, SentRequest, UpstreamLoads};
+use coltsfootnotch_forward::place::{
+    Candidate, PlacementRequest, PrefillRate, Prompt, place_engine,
+};
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -20,9 +22,8 @@
 const PROMPTS_PER_BURST: u32 = 3;
 const ANSWER_TOKENS: u32 = 240;
 
-/// The kind of engines in a test.
 #[derive(Clone, Copy)]
-struct Kind {
+struct EngineKind {
     tokens_per_ms: f64,
     /// Time of a step without prefill, in milliseconds.
     step_ms: f64,
@@ -30,20 +31,20 @@
 }
 
 /// Prefills the whole backlog before the next step.
-const GREEDY: Kind = Kind {
+const GREEDY: EngineKind = EngineKind {
     tokens_per_ms: 140.0,
     step_ms: 3.0,
     max_step_tokens: f64::INFINITY,
 };
 
-const CHUNKED: Kind = Kind {
+const CHUNKED: EngineKind = EngineKind {
     tokens_per_ms: 140.0,
     step_ms: 3.0,
     max_step_tokens: 2_000.0,
 };
 
 struct Stream {
-    sent: Sent,
+    sent: SentRequest,
     uncached: f64,
     generated: u32,
     last_event: Duration,
@@ -53,8 +54,7 @@
 struct Engine {
     id: Arc<str>,
     waiting: VecDeque<Stream>,
-    /// Prefilled in the current step.
-    read: Vec<Stream>,
+    prefilled: Vec<Stream>,
     streams: Vec<Stream>,
     step_ends: Duration,
 }
@@ -70,7 +70,7 @@
 }
 
 struct Fleet {
-    kind: Kind,
+    kind: EngineKind,
     gap: Option<Duration>,
     engines: Vec<Engine>,
     loads: UpstreamLoads,
@@ -81,7 +81,7 @@
 
 impl Fleet {
     /// `gap` is the pause that placement takes into account.
-    fn new(kind: Kind, gap: Option<Duration>) -> Self {
+    fn new(kind: EngineKind, gap: Option<Duration>) -> Self {
         let ids = (0..6).map(|n| Arc::<str>::from(format!("engine-{n}")));
         let mut loads = UpstreamLoads::default();
         let engine = |id: Arc<str>| {
@@ -89,7 +89,7 @@
             Engine {
                 id,
                 waiting: VecDeque::new(),
-                read: Vec::new(),
+                prefilled: Vec::new(),
                 streams: Vec::new(),
                 step_ends: Duration::ZERO,
             }
@@ -129,18 +129,18 @@
             output_tokens: u64::from(ANSWER_TOKENS),
             shared: Vec::new(),
         };
-        let pace = Pace {
+        let prefill_rate = PrefillRate {
             tokens_per_ms: self.kind.tokens_per_ms,
             base_ms: 35.0,
         };
-        let ask = Ask {
+        let request = PlacementRequest {
             prompt: &prompt,
             pressure: None,
-            fraction: 1.0,
-            tightest: TARGET,
-            gap: self.gap,
+            fair_fraction: 1.0,
+            shortest_target: TARGET,
+            shortest_gap: self.gap,
             domain: DOMAIN,
-            turn: self.rng.random(),
+            tie_breaker: self.rng.random(),
             avoid: &[],
         };
         let candidates = self.engines.iter().map(|engine| Candidate {
@@ -150,19 +150,19 @@
             memory_tokens: 444_000,
             load: self.loads.get(&engine.id, 1).expect("known"),
         });
-        let placed = place_engine(self.now, &ask, pace, candidates);
+        let placed = place_engine(self.now, &request, prefill_rate, candidates);
         self.outcomes.requests += 1;
         let Ok(placed) = placed else {
             self.outcomes.refused += 1;
             for engine in &self.engines {
                 let load = self.loads.entry(&engine.id, 1);
-                load.backlog.note_in_the_way(self.now);
+                load.backlog.record_blocking(self.now);
             }
             return;
         };
         let load = self.loads.entry(&placed.id, 1);
         if placed.wait * 2 >= placed.bound {
-            load.backlog.note_in_the_way(self.now);
+            load.backlog.record_blocking(self.now);
         }
         load.on_sent(&placed.sent);
         let engine = self.engines.iter_mut().find(|e| e.id == placed.id);
@@ -187,9 +187,9 @@
         let now = self.now;
         let engine = &mut self.engines[index];
         let load = self.loads.entry(&engine.id, 1);
-        for mut started in engine.read.drain(..) {
+        for mut started in engine.prefilled.drain(..) {
             self.outcomes.late += u32::from(now > started.sent.at + TARGET);
-            load.on_begun(now, &started.sent);
+            load.on_first_event(now, &started.sent);
             started.last_event = now;
             engine.streams.push(started);
         }
@@ -207,7 +207,7 @@
             .extract_if(.., |s| s.generated >= ANSWER_TOKENS)
         {
             self.outcomes.stalled += u32::from(finished.longest_pause > GAP);
-            load.on_over(&finished.sent, true);
+            load.on_finished(&finished.sent, true);
         }
     }
 
@@ -223,7 +223,7 @@
             if first.uncached > 0.0 {
                 break;
             }
-            engine.read.extend(engine.waiting.pop_front());
+            engine.prefilled.extend(engine.waiting.pop_front());
         }
         let took_ms = self.kind.step_ms + all / self.kind.tokens_per_ms;
         engine.step_ends = self.now + Duration::from_secs_f64(took_ms / 1e3);
@@ -280,7 +280,7 @@
     limit.observe_pause(at(2_500), at(4_000), GAP);
     expect_that!(limit.get(GAP), eq(slow));
     for now in (3_000..20_000).step_by(100) {
-        limit.note_in_the_way(at(now));
+        limit.record_blocking(at(now));
     }
     expect_that!(limit.get(GAP), gt(start));
 }
--- a/src/coltsfootnotch/daemon/control/seeded/call.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/call.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use coltsfootnotch_forward::book::Announcement;
+use coltsfootnotch_forward::registry::Announcement;
 use coltsfootnotch_wire::ConfigBody;
 use tokio::sync::oneshot;
 
--- a/src/coltsfootnotch/daemon/control/seeded/followers.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/followers.rs
@@ -46,7 +46,7 @@
     pub(in crate::daemon::control) fn remove(&mut self, link: LinkId) {
         self.links.remove(&link);
         self.followed_by.remove(&link);
-        self.fleet.forget(&link);
+        self.fleet.remove(&link);
     }
 
     /// All connected entries.
@@ -66,7 +66,7 @@
         follows: bool,
         load: LoadWord,
     ) {
-        self.fleet.take(now, link, load);
+        self.fleet.record(now, link, load);
         if follows {
             self.followed_by.insert(link);
         } else {
@@ -88,11 +88,11 @@
         let totals = self.fleet.totals(now);
         let mut used = 0;
         for link in &self.followed_by {
-            let load = self.fleet.without(now, &totals, link);
+            let load = self.fleet.excluding(now, &totals, link);
             used += load.upstreams.len();
             tell(*link, FromRelay::Fleet { entries, load });
         }
-        self.fleet.next_period(now);
+        self.fleet.start_period(now);
         used
     }
 
--- a/src/coltsfootnotch/daemon/control/seeded/mod.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/mod.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use coltsfootnotch_forward::book::UpstreamBook;
+use coltsfootnotch_forward::registry::UpstreamRegistry;
 use coltsfootnotch_wire::{FromRelay, UpstreamSign};
 use serde::{Deserialize, Serialize};
 
@@ -59,7 +59,7 @@
     pub(super) founding: SeededFounding,
     pub(super) followers: Followers,
     pub(super) calls: Calls,
-    pub(super) book: UpstreamBook,
+    pub(super) registry: UpstreamRegistry,
     /// When it is told next why there is no group yet.
     pub(super) waiting_due: Duration,
     pub(super) contact: Contact,
@@ -76,7 +76,7 @@
             founding: SeededFounding::default(),
             followers: Followers::default(),
             calls: Calls::default(),
-            book: UpstreamBook::default(),
+            registry: UpstreamRegistry::default(),
             waiting_due: now + upkeep::SAY_WAITING_EVERY,
             contact: Contact::default(),
             fleet_due: now,
--- a/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_fabric::LinkId;
-use coltsfootnotch_forward::book::{Announcement, News};
+use coltsfootnotch_forward::registry::{Announcement, RegistryUpdate};
 use coltsfootnotch_wire::{FromRelay, UpstreamSign, UpstreamWord};
 
 use super::Seeded;
@@ -33,13 +33,13 @@
             return;
         };
         let word = UpstreamWord::from(&said);
-        let news = seeded.book.take(now, said);
-        if news == News::Changed {
+        let news = seeded.registry.apply(now, said);
+        if news == RegistryUpdate::Changed {
             self.log_upstream(&word);
         }
         match news {
-            News::Changed => self.tell_followers(&FromRelay::Upstreams(vec![word])),
-            News::Alive => {
+            RegistryUpdate::Changed => self.tell_followers(&FromRelay::Upstreams(vec![word])),
+            RegistryUpdate::Refreshed => {
                 if let Some(seeded) = &mut self.seeded {
                     seeded.alive.push(UpstreamSign {
                         id: word.id,
@@ -48,7 +48,7 @@
                     });
                 }
             }
-            News::Stale => {}
+            RegistryUpdate::Stale => {}
         }
     }
 
@@ -96,7 +96,7 @@
         let Some(seeded) = &mut self.seeded else {
             return false;
         };
-        let holds = seeded.book.leave(now, id, born_ms);
+        let holds = seeded.registry.mark_left(now, id, born_ms);
         if holds {
             self.host
                 .log(&events::UPSTREAM_LEAVING, &[("upstream", &id)]);
@@ -112,7 +112,7 @@
         let Some(seeded) = &mut self.seeded else {
             return;
         };
-        for said in seeded.book.expire(now, SILENCE) {
+        for said in seeded.registry.expire(now, SILENCE) {
             self.host.log(
                 &events::UPSTREAM_SILENT,
                 &[("upstream", &said.id), ("service", &said.service)],
@@ -130,7 +130,7 @@
             return;
         }
         self.tell(link, FromRelay::Upstreams(known(seeded)));
-        for (id, born_ms) in seeded.book.left() {
+        for (id, born_ms) in seeded.registry.departed() {
             let id = id.to_owned();
             self.tell(link, FromRelay::UpstreamLeft { id, born_ms });
         }
@@ -166,6 +166,6 @@
 }
 
 fn known(seeded: &Seeded) -> Vec<UpstreamWord> {
-    let all = seeded.book.all();
-    all.map(|u| UpstreamWord::from(&u.said)).collect()
+    let all = seeded.registry.all();
+    all.map(|u| UpstreamWord::from(&u.announcement)).collect()
 }
--- a/src/coltsfootnotch/daemon/forward/actor/mod.rs
+++ b/src/coltsfootnotch/daemon/forward/actor/mod.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 use coltsfootnotch_fabric::Endpoint;
-use coltsfootnotch_forward::awake::Awake;
 use coltsfootnotch_forward::lease::ConfigLease;
 use coltsfootnotch_forward::load::FleetLoad;
 use coltsfootnotch_forward::overload::Overload;
-use coltsfootnotch_forward::retry::SecondSends;
+use coltsfootnotch_forward::pause_detector::PauseDetector;
+use coltsfootnotch_forward::retry::RetryBudget;
 use derive_more::{Display, Error, From};
 use stakker::sync::{Channel, ChannelGuard};
 use stakker::{CX, StopCause, actor_new, after, call, fwd_to, ret_nop, stop};
@@ -121,7 +121,7 @@
     serving: tokio::task::JoinHandle<()>,
     /// Whether the lease held when it was last looked at; shared with the tasks of connections.
     confirmed: Arc<AtomicBool>,
-    awake: Arc<Awake>,
+    awake: Arc<PauseDetector>,
     overload: Overload,
     overload_flags: Arc<OverloadFlags>,
     report_due: Duration,
@@ -155,7 +155,7 @@
         links.dial(&endpoint);
         let (config, watched) = watch::channel(None);
         let (pool, connections) = (Arc::<Pool>::default(), Arc::<Connections>::default());
-        let awake = Arc::<Awake>::default();
+        let awake = Arc::<PauseDetector>::default();
         let confirmed = Arc::<AtomicBool>::default();
         let overload_flags = Arc::<OverloadFlags>::default();
         let gateway = Arc::new(Gateway {
@@ -194,7 +194,7 @@
             boot: BootClock,
             dialect: settings.dialect,
             times: settings.times,
-            state: State::new(domain, SecondSends::new(settings.retries), lease),
+            state: State::new(domain, RetryBudget::new(settings.retries), lease),
             links,
             endpoint,
             config,
@@ -258,7 +258,7 @@
     fn place(&mut self, now: Duration, ask: &PlaceAsk) -> Result<Ticket, NotPlaced> {
         if let Some(stopping) = self.stopping {
             let end = stopping.since + self.times.shutdown.saturating_sub(STOP_MARGIN);
-            if now + ask.prompt.longest_run() > end {
+            if now + ask.prompt.max_answer_time() > end {
                 return Err(NotPlaced::Stopping);
             }
         }
@@ -281,7 +281,7 @@
     }
 
     fn watch_lease(&mut self) {
-        let holds = self.state.lease.holds(self.boot.now(), self.number);
+        let holds = self.state.lease.is_valid(self.boot.now(), self.number);
         if holds != self.confirmed.swap(holds, Ordering::Relaxed) {
             let event = if holds {
                 &events::LEASE_REGAINED
--- a/src/coltsfootnotch/daemon/forward/actor/news.rs
+++ b/src/coltsfootnotch/daemon/forward/actor/news.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use coltsfootnotch_fabric::{Event, LinkId};
-use coltsfootnotch_forward::book::{Announcement, News};
 use coltsfootnotch_forward::config::ForwardConfig;
+use coltsfootnotch_forward::registry::{Announcement, RegistryUpdate};
 use coltsfootnotch_wire::{ConfigBody, FromRelay, Message, UpstreamWord};
 
 use super::ForwardActor;
@@ -51,12 +51,12 @@
                 self.heard_upstreams = now;
                 for sign in signs {
                     self.state
-                        .book
-                        .sign(now, &sign.id, sign.born_ms, sign.sequence);
+                        .registry
+                        .refresh(now, &sign.id, sign.born_ms, sign.sequence);
                 }
             }
             FromRelay::UpstreamLeft { id, born_ms } => {
-                self.state.book.leave(now, &id, born_ms);
+                self.state.registry.mark_left(now, &id, born_ms);
                 self.cx.log(&events::UPSTREAM_LEAVING, &[("upstream", &id)]);
             }
             FromRelay::Fleet { entries, load } => {
@@ -69,7 +69,7 @@
                     self.take_config(&body);
                 }
                 if let Some(asked) = self.links.answered(id) {
-                    self.state.lease.confirmed(asked, number);
+                    self.state.lease.renew(asked, number);
                     self.watch_lease();
                 }
             }
@@ -102,7 +102,7 @@
         for word in words {
             let said = Announcement::from(word);
             let news = self.state.announced(now, said.clone());
-            if news == News::Changed {
+            if news == RegistryUpdate::Changed {
                 self.cx.log(
                     &events::UPSTREAM_ANNOUNCED,
                     &[
--- a/src/coltsfootnotch/daemon/forward/actor/upkeep.rs
+++ b/src/coltsfootnotch/daemon/forward/actor/upkeep.rs
@@ -29,15 +29,15 @@
         self.report_due = now + reporting_period(self.state.entries);
         self.reports += 1;
         let load = self.state.report();
-        self.for_others.take(now, Own, load.clone());
+        self.for_others.record(now, Own, load.clone());
         self.links.send_followed(ToRelay::Load {
             follows: true,
             load,
         });
         if self.reports.is_multiple_of(REPORTS_TO_OTHERS) {
             let totals = self.for_others.totals(now);
-            let load = self.for_others.without(now, &totals, &Nobody);
-            self.for_others.next_period(now);
+            let load = self.for_others.excluding(now, &totals, &Nobody);
+            self.for_others.start_period(now);
             self.links.send_others(&ToRelay::Load {
                 follows: false,
                 load,
@@ -60,7 +60,7 @@
         let times = self.state.times_even_part(now);
         self.overload.observe(now, waited, times);
         let overloaded = self.overload.is_overloaded(now);
-        let refused = self.overload.refused_part();
+        let refused = self.overload.refused_share();
         if overloaded != self.overload_flags.set(overloaded, refused) {
             let event = if overloaded {
                 &events::OVERLOADED
@@ -101,15 +101,18 @@
         if !is_told {
             return;
         }
-        for said in self.state.book.expire(now, SILENCE) {
+        for said in self.state.registry.expire(now, SILENCE) {
             self.cx.log(
                 &events::UPSTREAM_SILENT,
                 &[("upstream", &said.id), ("service", &said.service)],
             );
         }
-        let book = &self.state.book;
-        self.state.loads.retain(|id| book.get(id).is_some());
-        self.pool
-            .sweep(|id, born_ms| book.get(id).is_some_and(|u| u.said.born_ms == born_ms));
+        let registry = &self.state.registry;
+        self.state.loads.retain(|id| registry.get(id).is_some());
+        self.pool.sweep(|id, born_ms| {
+            registry
+                .get(id)
+                .is_some_and(|u| u.announcement.born_ms == born_ms)
+        });
     }
 }
--- a/src/coltsfootnotch/daemon/forward/config.rs
+++ b/src/coltsfootnotch/daemon/forward/config.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_fabric::Credentials;
-use coltsfootnotch_forward::retry::RetryBound;
+use coltsfootnotch_forward::retry::RetryLimit;
 
 use super::Dialect;
 
@@ -32,7 +32,7 @@
     /// Times.
     pub times: Times,
     /// The operator's bound on second sends.
-    pub retries: RetryBound,
+    pub retries: RetryLimit,
     /// How requests, answers and configurations are written.
     pub dialect: Dialect,
 }
--- a/src/coltsfootnotch/daemon/forward/control_links.rs
+++ b/src/coltsfootnotch/daemon/forward/control_links.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_fabric::{Endpoint, LinkId, LinkTx, PeerId};
-use coltsfootnotch_forward::follow::Following;
+use coltsfootnotch_forward::control_host::ControlHostSelector;
 use coltsfootnotch_wire::{Message, ToRelay};
 
 use crate::daemon::control_dials::ControlDials;
@@ -43,7 +43,7 @@
     seeds: BTreeSet<SocketAddr>,
     told: BTreeSet<SocketAddr>,
     links: BTreeMap<LinkId, Link>,
-    following: Following<LinkId>,
+    following: ControlHostSelector<LinkId>,
     open: Option<Open>,
     ask_due: Duration,
     last_id: u64,
@@ -56,7 +56,7 @@
             seeds: seeds.iter().copied().collect(),
             told: BTreeSet::new(),
             links: BTreeMap::new(),
-            following: Following::default(),
+            following: ControlHostSelector::default(),
             open: None,
             ask_due: Duration::ZERO,
             last_id: 0,
@@ -84,7 +84,7 @@
     }
 
     pub(super) fn up(&mut self, link: LinkId, peer: PeerId, tx: LinkTx) {
-        if self.following.up(peer.host.as_str(), link) {
+        if self.following.add_link(peer.host.as_str(), link) {
             self.ask_anew();
         }
         self.links.insert(link, Link { tx, peer });
@@ -92,14 +92,14 @@
 
     pub(super) fn down(&mut self, link: LinkId) {
         self.links.remove(&link);
-        if self.following.drop_link(link) {
+        if self.following.remove_link(link) {
             self.ask_anew();
         }
     }
 
     /// The control host keeps no log, and can't be followed.
     pub(super) fn do_not_follow(&mut self, link: LinkId) {
-        if self.following.drop_link(link) {
+        if self.following.remove_link(link) {
             self.ask_anew();
         }
     }
@@ -112,7 +112,7 @@
 
     /// The control host that is followed.
     pub(super) fn followed(&self) -> Option<(LinkId, &PeerId)> {
-        let link = self.following.followed()?;
+        let link = self.following.selected()?;
         Some((link, &self.links.get(&link)?.peer))
     }
 
@@ -125,13 +125,13 @@
         if let Some(open) = &self.open
             && now >= open.asked + ANSWER_WITHIN
         {
-            self.following.unanswered();
+            self.following.on_timeout();
             self.ask_anew();
         }
         if self.open.is_some() || now < self.ask_due {
             return;
         }
-        let Some(link) = self.following.followed() else {
+        let Some(link) = self.following.selected() else {
             return;
         };
         self.last_id += 1;
@@ -149,7 +149,7 @@
 
     /// Sends to the control host that is followed.
     pub(super) fn send_followed(&self, message: ToRelay) {
-        if let Some(link) = self.following.followed() {
+        if let Some(link) = self.following.selected() {
             self.send(link, message);
         }
     }
--- a/src/coltsfootnotch/daemon/forward/messages.rs
+++ b/src/coltsfootnotch/daemon/forward/messages.rs
@@ -6,7 +6,7 @@
 
 use coltsfootnotch_fabric::Event;
 use coltsfootnotch_forward::config::ForwardConfig;
-use coltsfootnotch_forward::load::Sent;
+use coltsfootnotch_forward::load::SentRequest;
 use coltsfootnotch_forward::place::{Prompt, Refusal};
 use tokio::sync::oneshot;
 
@@ -41,7 +41,7 @@
     /// Where it takes requests.
     pub(super) address: SocketAddr,
     /// What the request counts for there.
-    pub(super) sent: Sent,
+    pub(super) sent: SentRequest,
     /// Digest of the request's content.
     pub(super) content: u64,
     /// Most connections that this entry keeps there.
--- a/src/coltsfootnotch/daemon/forward/requested.rs
+++ b/src/coltsfootnotch/daemon/forward/requested.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use coltsfootnotch_forward::config::{ForwardConfig, Kind, Route};
+use coltsfootnotch_forward::config::{ForwardConfig, Route, RouteKind};
 use coltsfootnotch_forward::place::Prompt;
 use http_body_util::Full;
 use hyper::http::request::Parts;
@@ -44,7 +44,7 @@
         &self.config.routes()[self.route]
     }
 
-    pub(super) fn kind(&self) -> Kind {
+    pub(super) fn kind(&self) -> RouteKind {
         self.route().kind
     }
 
--- a/src/coltsfootnotch/daemon/forward/server.rs
+++ b/src/coltsfootnotch/daemon/forward/server.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
 
-use coltsfootnotch_forward::awake::Awake;
+use coltsfootnotch_forward::pause_detector::PauseDetector;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HOST, HeaderValue};
 use hyper::{Request, StatusCode};
@@ -38,7 +38,7 @@
     pub(super) refusals: LineBudget,
     /// Whether the configuration is surely the newest.
     pub(super) confirmed: Arc<AtomicBool>,
-    pub(super) awake: Arc<Awake>,
+    pub(super) awake: Arc<PauseDetector>,
     pub(super) overload: Arc<OverloadFlags>,
     pub(super) connections: Arc<Connections>,
     /// Connections from which on callers are asked to close theirs after an answer: beyond the most
@@ -54,7 +54,7 @@
         req: Request<Incoming>,
         _peer: SocketAddr,
     ) -> AnyResponse {
-        if self.awake.has_stood_still(BootClock.now()) {
+        if self.awake.should_refuse(BootClock.now()) {
             return answer::stood_still();
         }
         if self.overload.refuses((self.draw)()) {
--- a/src/coltsfootnotch/daemon/forward/state.rs
+++ b/src/coltsfootnotch/daemon/forward/state.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_forward::book::{Announcement, News, Stage, UpstreamBook};
 use coltsfootnotch_forward::config::{Engine, ForwardConfig};
 use coltsfootnotch_forward::lease::ConfigLease;
 use coltsfootnotch_forward::load::UpstreamLoads;
 use coltsfootnotch_forward::place::{
-    Ask, Candidate, Pace, Placement, Refusal, place_engine, place_plain,
+    Candidate, Placement, PlacementRequest, PrefillRate, Refusal, place_engine, place_plain,
 };
-use coltsfootnotch_forward::retry::{BrokenRequests, SecondSends};
+use coltsfootnotch_forward::registry::{Announcement, RegistryUpdate, Stage, UpstreamRegistry};
+use coltsfootnotch_forward::retry::{PoisonRequests, RetryBudget};
 use coltsfootnotch_forward::share::FairShares;
 use coltsfootnotch_wire::{BreakWord, LoadWord};
 
@@ -37,11 +37,11 @@
 /// What all requests share.
 pub(super) struct State {
     pub(super) domain: Arc<str>,
-    pub(super) book: UpstreamBook,
+    pub(super) registry: UpstreamRegistry,
     pub(super) loads: UpstreamLoads,
     pub(super) shares: FairShares,
-    pub(super) sends: SecondSends,
-    pub(super) broken: BrokenRequests,
+    pub(super) sends: RetryBudget,
+    pub(super) broken: PoisonRequests,
     pub(super) lease: ConfigLease,
     pub(super) entries: u32,
     /// Most engines of a service seen at once: the operator's figure is for all of them, those that
@@ -50,14 +50,14 @@
 }
 
 impl State {
-    pub(super) fn new(domain: Arc<str>, sends: SecondSends, lease: ConfigLease) -> Self {
+    pub(super) fn new(domain: Arc<str>, sends: RetryBudget, lease: ConfigLease) -> Self {
         Self {
             domain,
-            book: UpstreamBook::default(),
+            registry: UpstreamRegistry::default(),
             loads: UpstreamLoads::default(),
             shares: FairShares::default(),
             sends,
-            broken: BrokenRequests::default(),
+            broken: PoisonRequests::default(),
             lease,
             entries: 1,
             most_engines: HashMap::new(),
@@ -65,20 +65,20 @@
     }
 
     /// Takes in what an upstream announced.
-    pub(super) fn announced(&mut self, now: Duration, said: Announcement) -> News {
+    pub(super) fn announced(&mut self, now: Duration, said: Announcement) -> RegistryUpdate {
         let (id, born_ms, service) = (said.id.clone(), said.born_ms, said.service.clone());
-        let news = self.book.take(now, said);
-        if news != News::Stale {
+        let news = self.registry.apply(now, said);
+        if news != RegistryUpdate::Stale {
             self.loads.entry(&id, born_ms);
         }
-        if news == News::Changed {
+        if news == RegistryUpdate::Changed {
             self.count_engines(service);
         }
         news
     }
 
     fn count_engines(&mut self, service: Arc<str>) {
-        let engines = self.book.ready(&service).count();
+        let engines = self.registry.ready(&service).count();
         let most = self.most_engines.entry(service).or_default();
         *most = engines.max(*most);
     }
@@ -91,7 +91,7 @@
         newest: u64,
         ask: &PlaceAsk,
     ) -> Result<Ticket, NotPlaced> {
-        if ask.account.is_some() && !self.lease.holds(boot_now, newest) {
+        if ask.account.is_some() && !self.lease.is_valid(boot_now, newest) {
             return Err(NotPlaced::NoLease);
         }
         if self.broken.is_refused(now, ask.content) {
@@ -102,20 +102,20 @@
         if is_first {
             self.sends.on_request(now, &service.name);
         }
-        let units = ask.prompt.units();
+        let units = ask.prompt.service_units();
         if let Some(account) = ask.account.as_ref().filter(|_| is_first) {
-            self.shares.ask(now, account, units);
+            self.shares.record_requested(now, account, units);
         }
         let placement = match &service.engine {
             Some(engine) => self.place_engine(now, ask, engine),
             None => self.place_plain(now, ask),
         };
         let placement = placement.map_err(NotPlaced::Refused)?;
-        if ask.is_second && !self.sends.try_take(now, &service.name, self.entries) {
+        if ask.is_second && !self.sends.try_acquire(now, &service.name, self.entries) {
             return Err(NotPlaced::NoSecondSend);
         }
         if let Some(account) = ask.account.as_ref().filter(|_| is_first) {
-            self.shares.admit(now, account, units);
+            self.shares.record_admitted(now, account, units);
         }
         Ok(self.ticket(now, ask, placement))
     }
@@ -130,19 +130,22 @@
         // A request that was sent before has been let in: refused now, what was done for it is lost.
         let account = ask.account.as_ref().filter(|_| !ask.is_second);
         if let Some(units) = ask.config.units_per_s() {
-            self.shares.state_capacity(units);
+            self.shares.set_capacity(units);
         }
         let pressure = account.and_then(|account| self.shares.pressure(now, account));
-        let fraction = account.map_or(1.0, |account| self.shares.fraction(now, account));
+        let fair_fraction = account.map_or(1.0, |account| self.shares.fair_fraction(now, account));
         let pace = self.pace(&ask.config, service);
-        let question = Ask {
+        let question = PlacementRequest {
             prompt: &ask.prompt,
             pressure,
-            fraction,
-            tightest: ask.config.tightest(ask.service).unwrap_or(DEFAULT_TARGET),
-            gap: ask.config.shortest_gap(ask.service),
+            fair_fraction,
+            shortest_target: ask
+                .config
+                .shortest_target(ask.service)
+                .unwrap_or(DEFAULT_TARGET),
+            shortest_gap: ask.config.shortest_gap(ask.service),
             domain: &self.domain,
-            turn: ask.turn,
+            tie_breaker: ask.turn,
             avoid: &ask.avoid,
         };
         let placed = place_engine(now, &question, pace, self.candidates(service, Some(engine)));
@@ -154,17 +157,20 @@
     fn note_crowding(&mut self, now: Duration, service: &str, placed: &Result<Placement, Refusal>) {
         match placed {
             Ok(placed) if placed.wait * 2 >= placed.bound => {
-                let born_ms = self.book.get(&placed.id).map(|u| u.said.born_ms);
+                let born_ms = self
+                    .registry
+                    .get(&placed.id)
+                    .map(|u| u.announcement.born_ms);
                 let load = born_ms.and_then(|born| self.loads.get_mut(&placed.id, born));
                 load.into_iter()
-                    .for_each(|l| l.backlog.note_in_the_way(now));
+                    .for_each(|l| l.backlog.record_blocking(now));
             }
-            Err(refused) if refused.is_crowded => {
-                for upstream in self.book.ready(service) {
-                    let said = &upstream.said;
+            Err(refused) if refused.is_saturated => {
+                for upstream in self.registry.ready(service) {
+                    let said = &upstream.announcement;
                     let load = self.loads.get_mut(&said.id, said.born_ms);
                     load.into_iter()
-                        .for_each(|l| l.backlog.note_in_the_way(now));
+                        .for_each(|l| l.backlog.record_blocking(now));
                 }
             }
             _ => {}
@@ -192,8 +198,8 @@
     ) -> impl Iterator<Item = Candidate<'a>> {
         let memory_tokens = engine.map_or(0, |e| e.memory_tokens);
         let slots = engine.map(|e| e.slots);
-        self.book.ready(service).filter_map(move |upstream| {
-            let said = &upstream.said;
+        self.registry.ready(service).filter_map(move |upstream| {
+            let said = &upstream.announcement;
             Some(Candidate {
                 id: &said.id,
                 domain: &said.domain,
@@ -207,10 +213,10 @@
     fn ticket(&mut self, now: Duration, ask: &PlaceAsk, placement: Placement) -> Ticket {
         let service = &ask.config.services()[ask.service];
         let upstream = self
-            .book
+            .registry
             .get(&placement.id)
             .expect("placed at a known upstream");
-        let said = &upstream.said;
+        let said = &upstream.announcement;
         assert_eq!(
             said.stage,
             Stage::Ready,
@@ -222,7 +228,7 @@
             .on_sent(&placement.sent);
         let room = service.engine.as_ref().map_or(0, kept_room);
         self.loads
-            .note_parts(now, &placement.id, &ask.prompt.shared, room);
+            .record_segments(now, &placement.id, &ask.prompt.shared, room);
         let share = service.max_connections / self.entries.max(1);
         Ticket {
             upstream: placement.id,
@@ -237,7 +243,7 @@
     /// The first event of an answer has come.
     pub(super) fn begun(&mut self, now: Duration, ticket: &Ticket) {
         if let Some(load) = self.loads.get_mut(&ticket.upstream, ticket.born_ms) {
-            load.on_begun(now, &ticket.sent);
+            load.on_first_event(now, &ticket.sent);
         }
     }
 
@@ -245,15 +251,15 @@
     pub(super) fn over(&mut self, now: Duration, ticket: &Ticket, begun: bool, ended: Ended) {
         if ended == Ended::Broken {
             let (content, run) = (ticket.content, run_digest(ticket));
-            self.broken.note_own(now, BreakWord { content, run });
+            self.broken.record_local(now, BreakWord { content, run });
         }
         if ended == Ended::Well {
-            self.broken.note_own_success(ticket.content);
+            self.broken.record_local_success(ticket.content);
         }
         let Some(load) = self.loads.get_mut(&ticket.upstream, ticket.born_ms) else {
             return;
         };
-        load.on_over(&ticket.sent, begun);
+        load.on_finished(&ticket.sent, begun);
         match ended {
             Ended::Well => load.on_succeeded(now),
             Ended::Failed | Ended::Broken => load.on_failed(now),
@@ -271,25 +277,25 @@
         config: Option<&ForwardConfig>,
     ) {
         self.entries = entries.max(1);
-        self.shares.take_others(now, load);
+        self.shares.apply_remote(now, load);
         for broken in &load.broken {
-            self.broken.note(now, *broken);
+            self.broken.record(now, *broken);
         }
         for content in &load.mended {
-            self.broken.note_success(*content);
+            self.broken.record_success(*content);
         }
-        let book = &self.book;
+        let registry = &self.registry;
         let room = |upstream: &str| {
-            let service = book.get(upstream).map(|u| &u.said.service);
+            let service = registry.get(upstream).map(|u| &u.announcement.service);
             let service = service.and_then(|name| config?.service(name));
             service.and_then(|s| s.engine.as_ref()).map_or(0, kept_room)
         };
-        self.loads.take_others(now, load, room);
+        self.loads.apply_remote(now, load, room);
     }
 
     /// How many times its even part this entry is asked for.
     pub(super) fn times_even_part(&mut self, now: Duration) -> f64 {
-        self.shares.part_here(now) * f64::from(self.entries)
+        self.shares.local_share(now) * f64::from(self.entries)
     }
 
     /// What this entry has and did since its last report.
@@ -305,11 +311,11 @@
         }
     }
 
-    fn pace(&self, config: &ForwardConfig, service: &str) -> Pace {
+    fn pace(&self, config: &ForwardConfig, service: &str) -> PrefillRate {
         let most = self.most_engines.get(service).copied().unwrap_or(0);
         let stated = config.units_per_s();
         let each = stated.map(|units| units * READ_SHARE / 1e3 / most.max(1) as f64);
-        Pace {
+        PrefillRate {
             tokens_per_ms: each.unwrap_or(DEFAULT_PACE).max(1.0),
             base_ms: BASE_MS,
         }
