--- a/crates/forward/src/config/problem.rs
+++ b/crates/forward/src/config/problem.rs
@@ -1,11 +1,11 @@
-//! What is wrong with a configuration, and where.
+//! Problems of a configuration and their locations.
 
 use derive_more::{Display, Error};
 
-/// What is wrong.
+/// The kind of a problem.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum ProblemKind {
-    /// A route names a service that the configuration lacks.
+    /// A route names a service that does not exist.
     #[display("names the unknown service {name:?}")]
     UnknownService {
         /// The name.
@@ -13,58 +13,58 @@
     },
     /// Two routes have the same host and prefix.
     #[display("has the host and prefix of {first}")]
-    SamePlace {
-        /// Place of the earlier route.
+    DuplicateRoute {
+        /// Location of the earlier route.
         first: String,
     },
     /// The weights of a route add up to 0.
     #[display("has weights that add up to 0")]
-    NoWeight,
-    /// A timeout of 0.
+    ZeroWeight,
+    /// A route has a timeout of 0.
     #[display("has a timeout of 0")]
-    NoTimeout,
-    /// A prefix that does not go from slash to slash.
+    ZeroTimeout,
+    /// A prefix does not begin and end with a slash.
     #[display("has the prefix {prefix:?}, which does not begin and end with a slash")]
-    BadPrefix {
+    InvalidPrefix {
         /// The prefix.
         prefix: String,
     },
     /// Two accounts share a key.
     #[display("has a key of {first}")]
     SharedKey {
-        /// Place of the earlier account.
+        /// Location of the earlier account.
         first: String,
     },
-    /// Two services or accounts have one name.
+    /// Two services or accounts have the same name.
     #[display("has the name of {first}")]
-    SameName {
-        /// Place of the earlier one.
+    DuplicateName {
+        /// Location of the earlier one.
         first: String,
     },
     /// A value is missing or of another type.
     #[display("{what}")]
-    Unreadable {
+    Malformed {
         /// What was expected, and what was found.
         what: String,
     },
 }
 
-/// One problem of a configuration.
+/// A problem of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("{place}: {kind}")]
+#[display("{location}: {kind}")]
 pub struct Problem {
-    /// Where it is, as a path from the root.
-    pub place: String,
-    /// What it is.
+    /// Its location, as a path from the root.
+    pub location: String,
+    /// Its kind.
     pub kind: ProblemKind,
 }
 
 impl Problem {
-    /// A problem at `place`.
+    /// A problem at `location`.
     #[must_use]
-    pub fn new(place: impl Into<String>, kind: ProblemKind) -> Self {
+    pub fn new(location: impl Into<String>, kind: ProblemKind) -> Self {
         Self {
-            place: place.into(),
+            location: location.into(),
             kind,
         }
     }
--- /dev/null
+++ b/crates/forward/src/load/in_flight.rs
@@ -0,0 +1,34 @@
+//! Requests at an upstream, of one or all entries.
+
+use std::ops::AddAssign;
+
+use coltsfootnotch_wire::UpstreamUse;
+
+/// Requests at an upstream that have not finished.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct InFlight {
+    /// Uncached prompt tokens of requests without a first event.
+    pub waiting_tokens: u64,
+    /// Requests that have not finished.
+    pub running: u32,
+    /// Estimated tokens of the upstream's memory that they occupy.
+    pub held_tokens: u64,
+}
+
+impl AddAssign for InFlight {
+    fn add_assign(&mut self, other: Self) {
+        self.waiting_tokens += other.waiting_tokens;
+        self.running += other.running;
+        self.held_tokens += other.held_tokens;
+    }
+}
+
+impl From<&UpstreamUse> for InFlight {
+    fn from(usage: &UpstreamUse) -> Self {
+        Self {
+            waiting_tokens: usage.waiting_tokens,
+            running: usage.running,
+            held_tokens: usage.held_tokens,
+        }
+    }
+}
--- /dev/null
+++ b/crates/forward/src/load/upstream_health.rs
@@ -0,0 +1,71 @@
+//! Health of an upstream, from the outcomes of its recent requests.
+//!
+//! An upstream may crash, hang, or fail some requests while it announces that it is ready. A
+//! crashed one refuses connections at once, so without this check it looks like the fastest and
+//! draws the traffic of the whole fleet.
+
+use std::time::Duration;
+
+use super::slowdown::decay;
+
+/// First backoff after a failed connection.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
+/// Longest backoff: a recovered upstream is used again within it.
+const MAX_BACKOFF: Duration = Duration::from_millis(3_200);
+/// Decay time of outcomes.
+const DECAY_TIME: Duration = Duration::from_secs(3);
+/// Successes that count as observed before any: one failure alone makes a rate of a sixth.
+const PRIOR_SUCCESSES: f64 = 5.0;
+
+/// Outcomes of the recent requests of an upstream.
+///
+/// ```
+/// use std::time::Duration;
+/// use coltsfootnotch_forward::load::UpstreamHealth;
+/// let mut health = UpstreamHealth::default();
+/// health.on_unreachable(Duration::ZERO);
+/// assert!(!health.is_available(Duration::from_millis(100)));
+/// assert!(health.is_available(Duration::from_millis(400)));
+/// ```
+#[derive(Debug, Clone, Copy, Default)]
+pub struct UpstreamHealth {
+    backoff_until: Duration,
+    unreachable_count: u32,
+    failed: f64,
+    succeeded: f64,
+    updated_at: Duration,
+}
+
+impl UpstreamHealth {
+    /// Records a failed connection, or an answer that never started.
+    pub fn on_unreachable(&mut self, now: Duration) {
+        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(self.unreachable_count.min(8));
+        self.unreachable_count += 1;
+        self.backoff_until = self.backoff_until.max(now + backoff.min(MAX_BACKOFF));
+    }
+
+    /// Records outcomes of requests of this entry or of others.
+    pub fn on_ended(&mut self, now: Duration, failed: u32, succeeded: u32) {
+        let remaining = decay(now.saturating_sub(self.updated_at), DECAY_TIME);
+        self.failed = self.failed * remaining + f64::from(failed);
+        self.succeeded = self.succeeded * remaining + f64::from(succeeded);
+        self.updated_at = self.updated_at.max(now);
+        if succeeded > 0 {
+            self.unreachable_count = 0;
+        }
+    }
+
+    /// Share of recent requests that failed, from 0 to 1.
+    #[must_use]
+    pub fn failure_rate(&self, now: Duration) -> f64 {
+        let remaining = decay(now.saturating_sub(self.updated_at), DECAY_TIME);
+        let failed = self.failed * remaining;
+        failed / (failed + self.succeeded * remaining + PRIOR_SUCCESSES)
+    }
+
+    /// Whether requests may be sent to it.
+    #[must_use]
+    pub fn is_available(&self, now: Duration) -> bool {
+        now >= self.backoff_until
+    }
+}
--- a/crates/forward/src/book/upstream.rs
+++ b/crates/forward/src/registry/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream in the book.
+//! An upstream in the registry.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
     /// Its newest announcement.
-    pub said: Announcement,
-    /// When that came.
-    pub heard: Duration,
+    pub announcement: Announcement,
+    /// When it was received.
+    pub last_seen: Duration,
 }
--- a/src/coltsfootnotch/daemon/control/seeded/entries.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/entries.rs
@@ -47,7 +47,7 @@
     pub(in crate::daemon::control) fn remove(&mut self, link: LinkId) {
         self.links.remove(&link);
         self.subscribers.remove(&link);
-        self.fleet.forget(&link);
+        self.fleet.remove(&link);
     }
 
     /// All connected entries.
@@ -67,7 +67,7 @@
         follows: bool,
         load: LoadWord,
     ) {
-        self.fleet.take(now, link, load);
+        self.fleet.record(now, link, load);
         if follows {
             self.subscribers.insert(link);
         } else {
@@ -88,11 +88,11 @@
         let totals = self.fleet.totals(now);
         let mut sent = 0;
         for link in &self.subscribers {
-            let load = self.fleet.without(now, &totals, link);
+            let load = self.fleet.excluding(now, &totals, link);
             sent += load.upstreams.len();
             send(*link, FromRelay::Fleet { entries, load });
         }
-        self.fleet.next_period(now);
+        self.fleet.start_period(now);
         sent
     }
 
--- a/src/coltsfootnotch/daemon/control/seeded/mod.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/mod.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use coltsfootnotch_forward::book::UpstreamBook;
+use coltsfootnotch_forward::registry::UpstreamRegistry;
 use coltsfootnotch_wire::{FromRelay, UpstreamSign};
 use serde::{Deserialize, Serialize};
 
@@ -58,7 +58,7 @@
     pub(super) bootstrap: SeededBootstrap,
     pub(super) entries: ConnectedEntries,
     pub(super) calls: Calls,
-    pub(super) registry: UpstreamBook,
+    pub(super) registry: UpstreamRegistry,
     /// Time of the next log line on the missing group.
     pub(super) no_group_log_due: Duration,
     pub(super) connectivity: Connectivity,
@@ -75,7 +75,7 @@
             bootstrap: SeededBootstrap::default(),
             entries: ConnectedEntries::default(),
             calls: Calls::default(),
-            registry: UpstreamBook::default(),
+            registry: UpstreamRegistry::default(),
             no_group_log_due: now + handlers::NO_GROUP_LOG_INTERVAL,
             connectivity: Connectivity::default(),
             load_due: now,
--- a/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_fabric::LinkId;
-use coltsfootnotch_forward::book::{Announcement, News};
+use coltsfootnotch_forward::registry::{Announcement, RegistryUpdate};
 use coltsfootnotch_wire::{FromRelay, UpstreamSign, UpstreamWord};
 
 use super::Seeded;
@@ -37,13 +37,15 @@
             return;
         };
         let report = UpstreamWord::from(&announcement);
-        let update = seeded.registry.take(now, announcement);
-        if update == News::Changed {
+        let update = seeded.registry.apply(now, announcement);
+        if update == RegistryUpdate::Changed {
             self.log_upstream(&report);
         }
         match update {
-            News::Changed => self.broadcast_to_entries(&FromRelay::Upstreams(vec![report])),
-            News::Alive => {
+            RegistryUpdate::Changed => {
+                self.broadcast_to_entries(&FromRelay::Upstreams(vec![report]))
+            }
+            RegistryUpdate::Refreshed => {
                 if let Some(seeded) = &mut self.seeded {
                     seeded.alive.push(UpstreamSign {
                         id: report.id,
@@ -52,7 +54,7 @@
                     });
                 }
             }
-            News::Stale => {}
+            RegistryUpdate::Stale => {}
         }
     }
 
@@ -100,7 +102,7 @@
         let Some(seeded) = &mut self.seeded else {
             return false;
         };
-        let is_recorded = seeded.registry.leave(now, id, born_ms);
+        let is_recorded = seeded.registry.mark_left(now, id, born_ms);
         if is_recorded {
             self.host
                 .log(&events::UPSTREAM_LEAVING, &[("upstream", &id)]);
@@ -137,7 +139,7 @@
             return;
         }
         self.send_to_host(link, FromRelay::Upstreams(upstream_reports(seeded)));
-        for (id, born_ms) in seeded.registry.left() {
+        for (id, born_ms) in seeded.registry.departed() {
             let id = id.to_owned();
             self.send_to_host(link, FromRelay::UpstreamLeft { id, born_ms });
         }
@@ -174,5 +176,5 @@
 
 fn upstream_reports(seeded: &Seeded) -> Vec<UpstreamWord> {
     let all = seeded.registry.all();
-    all.map(|u| UpstreamWord::from(&u.said)).collect()
+    all.map(|u| UpstreamWord::from(&u.announcement)).collect()
 }
