--- a/crates/router/examples/control_traffic.rs
+++ b/crates/router/examples/control_traffic.rs
@@ -102,12 +102,12 @@
         "| entries / sidecars / pools / backlogged | requests/s | slots used | Waits | Pull | Nothing | Free | all | attempts a request | KB/s a sidecar | KB/s an entry | KB/s a host, mean |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|");
-    for part in [20, 5, 1] {
+    for divisor in [20, 5, 1] {
         measure(&Size {
-            entries: (16 / part).max(1),
-            sidecars: 390 / part,
-            pools: 20 / part,
-            backlogged: 570 / part,
+            entries: (16 / divisor).max(1),
+            sidecars: 390 / divisor,
+            pools: 20 / divisor,
+            backlogged: 570 / divisor,
         });
     }
 }
--- a/crates/router/src/entry/core.rs
+++ b/crates/router/src/entry/core.rs
@@ -93,7 +93,7 @@
     /// Whether any connected sidecar serves the pool.
     #[must_use]
     pub fn has_sidecar_for(&self, pool: &PoolName) -> bool {
-        self.sidecars.values().any(|view| view.serves(pool))
+        self.sidecars.values().any(|view| view.has_pool(pool))
     }
 
     /// Number of connected sidecars, and the pools that they serve.
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Sets the concurrency limits; accounts without an entry have none.
+    /// Sets the limits on concurrent requests; accounts that are not listed have none.
     pub fn set_running_limits(&mut self, limits: HashMap<AccountName, u32>) {
         self.concurrency.set_limits(limits);
     }
--- a/crates/router/src/entry/matching.rs
+++ b/crates/router/src/entry/matching.rs
@@ -71,6 +71,6 @@
     }
     let mut serving = sidecars
         .into_iter()
-        .filter(|(_, view)| view.serves(&waiting.pool));
+        .filter(|(_, view)| view.has_pool(&waiting.pool));
     serving.all(|(other, _)| waiting.avoid.contains(other))
 }
--- a/crates/router/src/entry/messages.rs
+++ b/crates/router/src/entry/messages.rs
@@ -60,7 +60,7 @@
         let Some(view) = self.sidecars.get_mut(from) else {
             return;
         };
-        let is_new = !view.serves(pool);
+        let is_new = !view.has_pool(pool);
         let pool_view = view.pools.entry(pool.clone()).or_default();
         let has_more = slots > pool_view.free;
         pool_view.free = slots;
--- a/crates/router/src/entry/sidecar_view.rs
+++ b/crates/router/src/entry/sidecar_view.rs
@@ -59,7 +59,7 @@
 
     /// Whether it has reported that it serves the pool.
     #[must_use]
-    pub fn serves(&self, pool: &PoolName) -> bool {
+    pub fn has_pool(&self, pool: &PoolName) -> bool {
         self.pools.contains_key(pool)
     }
 }
--- a/crates/router/src/entry/wait_updates.rs
+++ b/crates/router/src/entry/wait_updates.rs
@@ -59,7 +59,7 @@
     /// Sends all waits of a pool to a sidecar that has started to serve it.
     ///
     /// Updates from before it stopped serving the pool may have crossed with its `NotServed`.
-    /// Without the full update, stale counts could make it pull for ever.
+    /// Without the full update, stale counts could make it pull endlessly.
     pub(super) fn send_all_waits(&mut self, now: Duration, host: &HostName, pool: &PoolName) {
         let accounts = self.queues.get(pool).map(PoolQueue::accounts);
         let accounts: Vec<AccountName> = accounts.into_iter().flatten().cloned().collect();
--- a/crates/router/src/sidecar/pulling.rs
+++ b/crates/router/src/sidecar/pulling.rs
@@ -37,7 +37,7 @@
             .ranked(pool)
             .skip_while(|ranked| **ranked != account);
         let waiting_at_entry =
-            from_choice.filter(|ranked| self.waits.waits_at(pool, ranked, &entry));
+            from_choice.filter(|ranked| self.waits.has_waiting_at(pool, ranked, &entry));
         let accounts = waiting_at_entry.take(RANKED_ACCOUNTS).cloned().collect();
         let Some(slots) = self.upstreams.get_mut(&upstream) else {
             return false;
--- a/crates/router/src/sidecar/wait_table.rs
+++ b/crates/router/src/sidecar/wait_table.rs
@@ -142,7 +142,7 @@
 
     /// Whether an account has waiting requests in a pool at an entry.
     #[must_use]
-    pub fn waits_at(&self, pool: &PoolName, account: &AccountName, entry: &HostName) -> bool {
+    pub fn has_waiting_at(&self, pool: &PoolName, account: &AccountName, entry: &HostName) -> bool {
         let entries = self
             .pools
             .get(pool)
--- a/crates/router/tests/late_binding/scenarios.rs
+++ b/crates/router/tests/late_binding/scenarios.rs
@@ -226,9 +226,9 @@
         ..Options::default()
     };
     let mut sim = Sim::new(options, sources);
-    for turn in 0..8 {
+    for round in 0..8 {
         sim.run(MINUTE / 12);
-        sim.sidecars[0].engine.pool = sim.pool(turn);
+        sim.sidecars[0].engine.pool = sim.pool(round);
     }
     sim.drain_and_check();
     expect_that!(sim.log.count(Outcome::Unknown), eq(0));
