--- a/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
@@ -43,7 +43,7 @@
         }
         match update {
             RegistryUpdate::Changed => {
-                self.broadcast_to_entries(&FromRelay::Upstreams(vec![report]))
+                self.broadcast_to_entries(&FromRelay::Upstreams(vec![report]));
             }
             RegistryUpdate::Refreshed => {
                 if let Some(seeded) = &mut self.seeded {
