--- a/crates/forward/src/load/upstream_load.rs
+++ b/crates/forward/src/load/upstream_load.rs
@@ -1,4 +1,4 @@
-//! One upstream as this entry sees it.
+//! Load and health of one upstream.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     succeeded: u32,
 }
 
-/// One upstream as this entry sees it.
+/// Load and health of one upstream, as seen by this entry.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLoad {
     local: InFlight,
@@ -97,7 +97,7 @@
             self.leave_backlog(sent);
         }
         let running = self.local.running.checked_sub(1);
-        self.local.running = running.expect("a request ends once");
+        self.local.running = running.expect("a request finishes once");
         let held_tokens = self.local.held_tokens.checked_sub(sent.held_tokens);
         self.local.held_tokens = held_tokens.expect("a request frees its memory once");
     }
--- a/crates/forward/src/pause_detector.rs
+++ b/crates/forward/src/pause_detector.rs
@@ -40,20 +40,20 @@
     /// Records the regular tick. Returns whether the process was paused since the last one.
     pub fn tick(&self, now: Duration) -> bool {
         let previous = self.last_tick_ms.swap(millis(now), Ordering::Relaxed);
-        let late = previous > 0 && millis(now) > previous + millis(PAUSE_THRESHOLD);
-        if late {
+        let is_paused = previous > 0 && millis(now) > previous + millis(PAUSE_THRESHOLD);
+        if is_paused {
             let until = millis(now + REFUSE_FOR);
             self.refuse_until_ms.store(until, Ordering::Relaxed);
         }
-        late
+        is_paused
     }
 
     /// Whether requests that are read now have waited through a pause.
     #[must_use]
     pub fn should_refuse(&self, now: Duration) -> bool {
         let last_tick = self.last_tick_ms.load(Ordering::Relaxed);
-        let is_late = last_tick > 0 && millis(now) > last_tick + millis(PAUSE_THRESHOLD);
-        is_late || millis(now) < self.refuse_until_ms.load(Ordering::Relaxed)
+        let is_paused = last_tick > 0 && millis(now) > last_tick + millis(PAUSE_THRESHOLD);
+        is_paused || millis(now) < self.refuse_until_ms.load(Ordering::Relaxed)
     }
 }
 
--- a/crates/forward/src/place/engine.rs
+++ b/crates/forward/src/place/engine.rs
@@ -100,7 +100,7 @@
         let excess_ms = estimate.charged_wait_ms - estimate.bound_ms * self.factor;
         let min_excess = self.min_excess_ms.unwrap_or(f64::INFINITY);
         self.min_excess_ms = Some(min_excess.min(excess_ms));
-        if excess_ms > 0.0 || !fits(candidate, estimate.sent.held_tokens) {
+        if excess_ms > 0.0 || !has_capacity(candidate, estimate.sent.held_tokens) {
             return;
         }
         if self
@@ -187,7 +187,7 @@
 
 /// Whether the engine has a slot and memory for the request. A request larger than the memory fits
 /// an idle engine only, which decides itself.
-fn fits(candidate: &Candidate<'_>, tokens: u64) -> bool {
+fn has_capacity(candidate: &Candidate<'_>, tokens: u64) -> bool {
     let in_flight = candidate.load.in_flight();
     let capacity = (candidate.memory_tokens as f64 * MEMORY_SHARE) as u64;
     in_flight.running < candidate.slots
--- a/crates/forward/src/place/target.rs
+++ b/crates/forward/src/place/target.rs
@@ -5,7 +5,7 @@
 
 use crate::load::{SentRequest, UpstreamLoad};
 
-/// An upstream that may be chosen.
+/// An upstream that can be chosen for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
     /// Its identity.
--- a/crates/forward/src/registry/announcement.rs
+++ b/crates/forward/src/registry/announcement.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself.
+//! Announcements of upstreams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
     Left,
 }
 
-/// What an upstream says of itself.
+/// The announcement of an upstream about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Announcement {
     /// Its identity, which may be the same after a restart.
--- a/crates/forward/src/registry/upstream_registry.rs
+++ b/crates/forward/src/registry/upstream_registry.rs
@@ -36,7 +36,7 @@
     Changed,
 }
 
-/// Every upstream that announced itself.
+/// The upstreams that announced themselves.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/forward/src/share/fair_shares.rs
+++ b/crates/forward/src/share/fair_shares.rs
@@ -26,7 +26,7 @@
 const MIN_UNITS: f64 = 1.0;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Use {
+struct AccountTotals {
     demand: f64,
     admitted: f64,
     /// Of this entry alone, since its last report.
@@ -52,7 +52,7 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct FairShares {
-    by_account: BTreeMap<Arc<str>, Use>,
+    by_account: BTreeMap<Arc<str>, AccountTotals>,
     /// Demand of all accounts at this entry.
     local_demand: f64,
     decayed_at: Duration,
@@ -178,9 +178,9 @@
         let mut left = admitted.max(self.stated_capacity * MIN_SERVED_SHARE);
         let mut accounts = demands.len() as f64;
         for demand in demands {
-            let even = left / accounts;
-            if demand > even {
-                return Some(even);
+            let even_share = left / accounts;
+            if demand > even_share {
+                return Some(even_share);
             }
             left -= demand;
             accounts -= 1.0;
@@ -194,14 +194,15 @@
             return;
         }
         self.decayed_at = now;
-        let left = decay(passed, DECAY_TIME);
-        self.local_demand *= left;
+        let remaining = decay(passed, DECAY_TIME);
+        self.local_demand *= remaining;
         for used in self.by_account.values_mut() {
-            used.demand *= left;
-            used.admitted *= left;
+            used.demand *= remaining;
+            used.admitted *= remaining;
         }
-        let is_used =
-            |u: &Use| u.demand > MIN_UNITS || u.unreported_demand > 0 || u.unreported_admitted > 0;
+        let is_used = |u: &AccountTotals| {
+            u.demand > MIN_UNITS || u.unreported_demand > 0 || u.unreported_admitted > 0
+        };
         self.by_account.retain(|_, used| is_used(used));
     }
 }
--- a/crates/forward/tests/testsuite/engines.rs
+++ b/crates/forward/tests/testsuite/engines.rs
@@ -63,7 +63,7 @@
         let mut remaining = Vec::new();
         for mut run in std::mem::take(&mut self.running) {
             let id = &self.ids[run.engine];
-            let load = self.loads.get_mut(id, 1).expect("known");
+            let load = self.loads.get_mut(id, 1).expect("known engine");
             if !run.has_started && run.first_event_at <= now {
                 load.on_first_event(run.first_event_at, &run.sent);
                 run.has_started = true;
@@ -103,7 +103,7 @@
             domain: "colombo",
             slots: 64,
             memory_tokens: 235_664,
-            load: loads.get(id, 1).expect("known"),
+            load: loads.get(id, 1).expect("known engine"),
         });
         let placement = place_engine(now, &request, PREFILL_RATE, candidates)?;
         Ok(self.run(now, prompt, &placement))
@@ -114,9 +114,9 @@
             .ids
             .iter()
             .position(|id| *id == placed.id)
-            .expect("known");
+            .expect("known engine");
         let id = self.ids[engine].clone();
-        let load = self.loads.get_mut(&id, 1).expect("known");
+        let load = self.loads.get_mut(&id, 1).expect("known engine");
         for part in prompt.shared.iter().filter(|p| !load.cached.contains(p.id)) {
             *self.prefills_of_segment.entry(part.id).or_default() += 1;
         }
--- a/crates/forward/tests/testsuite/many_entries/fleet.rs
+++ b/crates/forward/tests/testsuite/many_entries/fleet.rs
@@ -154,7 +154,7 @@
             domain: DOMAIN,
             slots: 128,
             memory_tokens: 694_599,
-            load: loads.get(id, 1).expect("known"),
+            load: loads.get(id, 1).expect("known engine"),
         });
         let Ok(placed) = place_engine(self.now, &request, PREFILL_RATE, candidates) else {
             outcomes.refused += 1;
@@ -164,7 +164,7 @@
         outcomes.units += units;
         loads.entry(&placed.id, 1).on_sent(&placed.sent);
         let engine = self.engines.iter().position(|id| *id == placed.id);
-        let engine = engine.expect("known");
+        let engine = engine.expect("known engine");
         let reading = Duration::from_secs_f64(tokens as f64 / PREFILL_RATE.tokens_per_ms / 1e3);
         self.free_at[engine] = self.free_at[engine].max(self.now) + reading;
         let first_event_at = self.free_at[engine] + Duration::from_millis(35);
--- a/crates/forward/tests/testsuite/stalls.rs
+++ b/crates/forward/tests/testsuite/stalls.rs
@@ -148,7 +148,7 @@
             domain: DOMAIN,
             slots: 64,
             memory_tokens: 444_000,
-            load: self.loads.get(&engine.id, 1).expect("known"),
+            load: self.loads.get(&engine.id, 1).expect("known engine"),
         });
         let placed = place_engine(self.now, &request, prefill_rate, candidates);
         self.outcomes.requests += 1;
@@ -166,7 +166,7 @@
         }
         load.on_sent(&placed.sent);
         let engine = self.engines.iter_mut().find(|e| e.id == placed.id);
-        engine.expect("known").waiting.push_back(Stream {
+        engine.expect("known engine").waiting.push_back(Stream {
             sent: placed.sent,
             uncached: tokens as f64,
             generated: 0,
