--- a/crates/state/examples/sizes.rs
+++ b/crates/state/examples/sizes.rs
@@ -1,4 +1,4 @@
-//! Prints the bytes of ledger commands and of snapshots, and how long both take to apply.
+//! Prints the sizes of ledger commands and snapshots, and the time to apply and restore them.
 //!
 //! Run with `cargo run --release -p coltsfootnotch-state --example sizes`.
 
@@ -9,7 +9,7 @@
 use coltsfootnotch_types::{AccountName, HostName, Incarnation, NameError};
 use derive_more::{Display, Error, From};
 
-/// Bytes of an order service's answer.
+/// Size of the answers of the order service in bytes.
 const ANSWER_BYTES: usize = 200;
 
 #[derive(Debug, Display, Error, From)]
@@ -28,7 +28,7 @@
     fn apply(&mut self, op: Op) -> usize {
         self.index += 1;
         let bytes = Command { at: self.at, op }.encode();
-        let command = Command::decode(&bytes).expect("what was encoded can be decoded");
+        let command = Command::decode(&bytes).expect("an encoded command can be decoded");
         self.machine.apply(self.index, &command);
         bytes.len()
     }
@@ -47,7 +47,7 @@
     }
 }
 
-fn outcome(of: &LedgerOp, number: u64) -> LedgerOp {
+fn outcome(intent: &LedgerOp, number: u64) -> LedgerOp {
     let outcome = Outcome {
         status: 201,
         headers: vec![("content-type".into(), "application/json".into())],
@@ -55,7 +55,7 @@
     };
     LedgerOp {
         write: Record::Outcome(attempt(number), outcome),
-        ..of.clone()
+        ..intent.clone()
     }
 }
 
@@ -73,47 +73,47 @@
     let accounts: Vec<_> = (0..16)
         .map(|n| AccountName::new(format!("restaurant-{n:02}")))
         .collect::<Result<_, _>>()?;
-    let mut ops = Vec::new();
+    let mut intents = Vec::new();
     for n in 0..records {
-        ops.push(intent(n, &accounts[n as usize % accounts.len()], &sidecar)?);
+        intents.push(intent(n, &accounts[n as usize % accounts.len()], &sidecar)?);
     }
     let started = Instant::now();
-    let intent_bytes: usize = ops
+    let intent_bytes: usize = intents
         .iter()
         .map(|op| ledger.apply(Op::Ledger(op.clone())))
         .sum();
     let open = ledger.machine.snapshot().len() - empty;
-    let ends: Vec<_> = (0..).zip(&ops).map(|(n, op)| outcome(op, n)).collect();
-    let outcome_bytes: usize = ends
+    let outcomes: Vec<_> = (0..).zip(&intents).map(|(n, op)| outcome(op, n)).collect();
+    let outcome_bytes: usize = outcomes
         .iter()
         .map(|op| ledger.apply(Op::Ledger(op.clone())))
         .sum();
-    let took = started.elapsed();
-    let batch_bytes = Command {
+    let apply_time = started.elapsed();
+    let batch = Command {
         at: ledger.at,
-        op: Op::Batch(ops.iter().take(100).cloned().collect()),
+        op: Op::Batch(intents.iter().take(100).cloned().collect()),
     };
     let done = ledger.machine.snapshot();
-    let restored = Instant::now();
-    let copy = StateMachine::restore(&done);
-    let restoring = restored.elapsed();
-    assert!(copy.is_ok(), "a snapshot can be read");
+    let started = Instant::now();
+    let restored = StateMachine::restore(&done);
+    let restore_time = started.elapsed();
+    assert!(restored.is_ok(), "a snapshot can be restored");
     ledger.at = ledger.at.after(Duration::from_secs(400 * 86_400));
     for _ in 0..records.div_ceil(4_096) {
         ledger.apply(Op::Expire);
     }
     let expired = ledger.machine.snapshot().len() - empty;
-    let thousand = |bytes: usize| bytes as u64 * 1_000 / records;
+    let per_thousand = |bytes: usize| bytes as u64 * 1_000 / records;
     println!(
         "| {records} | {} | {} | {} | {} | {} | {} | {:.2} | {:.1} |",
         intent_bytes as u64 / records,
-        batch_bytes.encode().len() / 100,
+        batch.encode().len() / 100,
         outcome_bytes as u64 / records,
-        thousand(open),
-        thousand(done.len() - empty),
-        thousand(expired),
-        took.as_secs_f64() * 1e6 / (2 * records) as f64,
-        restoring.as_secs_f64() * 1e3,
+        per_thousand(open),
+        per_thousand(done.len() - empty),
+        per_thousand(expired),
+        apply_time.as_secs_f64() * 1e6 / (2 * records) as f64,
+        restore_time.as_secs_f64() * 1e3,
     );
     Ok(())
 }
--- a/crates/state/src/clock.rs
+++ b/crates/state/src/clock.rs
@@ -1,16 +1,15 @@
-//! Time in the replicated state: what leaders have measured, never a clock of a host.
+//! Log time: the clock of the replicated state, advanced by the stamps of leaders.
 //!
-//! Each leader starts from the time that the log has reached and adds what its own monotonic clock
-//! measures from then on. Log time therefore never runs ahead of the time that has really passed
-//! (within the drift bound); it stands still while there is no leader. Everything that waits for log
-//! time waits too long rather than too short, which is the safe side for leases and records alike.
+//! Each leader starts from the time that the log has reached and adds the time elapsed on its own
+//! monotonic clock. Log time never runs ahead of real time (within the drift bound) and stops while
+//! there is no leader, so leases and records expire too late rather than too early.
 
 use std::time::Duration;
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds that leaders of the control group have measured since the log began.
+/// Log time: milliseconds elapsed under a leader since the start of the log.
 #[derive(
     Debug,
     Clone,
@@ -29,31 +28,31 @@
 pub struct LogTime(pub u64);
 
 impl LogTime {
-    /// The time `wait` later; saturates instead of wrapping.
+    /// This time plus `wait`, saturating.
     #[must_use]
     pub fn after(self, wait: Duration) -> Self {
         let millis = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(millis))
     }
 
-    /// The time `wait` earlier, or the beginning of the log.
+    /// This time minus `wait`, or the start of the log.
     #[must_use]
     pub fn before(self, wait: Duration) -> Self {
         let millis = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(millis))
     }
 
-    /// How long ago `earlier` was; zero when it lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than this time.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// Stamps commands while this host leads.
+/// Stamps commands while this host is the leader.
 ///
-/// Start it anew at each election, once the first entry of the new term is applied. Starting from an
-/// older state is safe: the stamps are then too small, and log time merely stands still for a while.
+/// Create one after each election, once the first entry of the new term is applied. Starting from
+/// an older state is safe: stamps are then too low, and log time pauses until they catch up.
 ///
 /// ```
 /// use std::time::Duration;
@@ -68,7 +67,7 @@
 }
 
 impl LeaderClock {
-    /// Starts from the log time `applied` of this host's state machine, at its own time `now`.
+    /// Starts from log time `applied` of the local state machine, at local time `now`.
     #[must_use]
     pub fn start(applied: LogTime, now: Duration) -> Self {
         Self {
@@ -77,7 +76,7 @@
         }
     }
 
-    /// The log time at this host's time `now`.
+    /// The log time at local time `now`.
     #[must_use]
     pub fn stamp(&self, now: Duration) -> LogTime {
         self.base.after(now.saturating_sub(self.since))
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -1,7 +1,7 @@
-//! Commands: what hosts propose to the replicated log.
+//! Commands that hosts propose to the replicated log.
 //!
-//! A command is a wire and disk type: it is written to the log as it is and must stay readable.
-//! Variants are only ever added at the end.
+//! Commands are stored in the log and sent between hosts, so their encoding must stay readable:
+//! variants are only added at the end.
 
 use std::time::Duration;
 
@@ -16,36 +16,36 @@
 /// The version that [`Command::encode`] writes.
 const COMMAND_VERSION: u8 = 1;
 
-/// One entry of the log, with the log time at which the leader took it in.
+/// One log entry with its time stamp.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Stamp of the leader that proposed it.
+    /// Log time at which the leader proposed it.
     pub at: LogTime,
-    /// What to do.
+    /// The operation.
     pub op: Op,
 }
 
-/// What a command does.
+/// The operation of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Op {
     /// Puts a configuration in force.
     ApplyConfig(ApplyConfig),
-    /// Writes of the ledger, applied in order.
+    /// Writes to the ledger.
     Ledger(LedgerOp),
-    /// Many writes of the ledger in one entry of the log: one checksum, one sync and one round for
-    /// all that came to the leader meanwhile.
+    /// Several ledger writes, applied in order. One log entry needs one checksum, one disk sync and
+    /// one round of replication for all of them.
     Batch(Vec<LedgerOp>),
-    /// Moves log time on and lets records expire; proposed by the leader at least once a minute.
+    /// Advances log time and expires records; proposed by the leader at least once a minute.
     Expire,
     /// Changes the limits of the ledger.
     SetLimits(LedgerLimits),
-    /// Asks for a lease.
+    /// Requests a lease.
     Grant(Grant),
     /// Extends a lease.
     Renew(Renew),
-    /// Gives a lease back, once no order of its holder is in flight.
+    /// Releases a lease, once no order of its holder is in flight.
     Release(Release),
-    /// Records that an engine has carried out an order.
+    /// Records that an engine has executed an order.
     OrderDone(OrderDone),
 }
 
@@ -56,38 +56,38 @@
     pub number: u64,
     /// SHA-256 of `body`.
     pub digest: BodyDigest,
-    /// The manifest; opaque here.
+    /// The manifest; opaque to this crate.
     pub body: Vec<u8>,
 }
 
-/// One write of the ledger, about one key of one account.
+/// A write to the ledger for one key of one account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerOp {
     /// The client account that the key belongs to.
     pub account: AccountName,
     /// Digest of the key.
     pub key: KeyDigest,
-    /// What to write.
+    /// The write.
     pub write: Record,
 }
 
-/// What a write of the ledger does.
+/// A write to the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// An attempt is about to be dispatched.
     Intent(Intent),
-    /// The attempt `0` has ended with an answer.
+    /// The attempt ended with this outcome.
     Outcome(AttemptId, Outcome),
-    /// The attempt will never be dispatched.
+    /// The attempt is never dispatched.
     Close(Close),
-    /// The rereading call has found the booking.
+    /// The reread call found the booking.
     Settle(Settle),
 }
 
 /// An attempt is about to be dispatched by `sidecar`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// When a dated key was made.
+    /// Issue time of a dated key; `None` for a plain key.
     pub issued: Option<LogTime>,
     /// Digest of the request's method, path and body.
     pub body: BodyDigest,
@@ -97,60 +97,59 @@
     pub sidecar: ProcessId,
 }
 
-/// The attempt was not dispatched and never will be.
+/// Closes an attempt that was not dispatched and never will be.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Close {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Who can say so.
+    /// The process that closes it.
     pub by: Disowned,
 }
 
-/// The process whose word is enough that an attempt is never dispatched.
+/// A process that can guarantee that an attempt is never dispatched.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Disowned {
-    /// The sidecar run that the intent names: it alone could dispatch the attempt.
+    /// The run of the sidecar named in the intent, which alone can dispatch the attempt.
     BySidecar(ProcessId),
-    /// The entry run that made the attempt and has not sent its `Start`, without which no sidecar
-    /// dispatches.
+    /// The run of the entry that created the attempt and has not sent its `Start`, without which no
+    /// sidecar dispatches.
     ByEntry(Incarnation),
 }
 
-/// The answer found by the manifest's rereading call settles an open attempt.
+/// Resolves an open attempt with the answer found by the reread call of the manifest.
 ///
-/// There is no counterpart for a booking that was not found: the upstream may still be at work on
-/// it, so not finding it proves nothing.
+/// A reread call that finds no booking resolves nothing: the upstream may still be processing it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settle {
-    /// The attempt in doubt.
+    /// The attempt whose outcome is unknown.
     pub attempt: AttemptId,
     /// The answer to record.
     pub outcome: Outcome,
 }
 
-/// Asks for a lease for `ttl` from the stamp of this command.
+/// Requests a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The lease.
     pub lease: LeaseName,
-    /// Who asks.
+    /// The requesting process.
     pub holder: ProcessId,
-    /// For how long.
+    /// Duration of the lease, counted from the stamp of the command.
     pub ttl: Duration,
 }
 
-/// Extends the lease that was granted under `number`.
+/// Extends a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renew {
     /// The lease.
     pub lease: LeaseName,
     /// Its fencing number.
     pub number: FencingNumber,
-    /// For how long from the stamp of this command.
+    /// New duration of the lease, counted from the stamp of the command.
     pub ttl: Duration,
 }
 
-/// Gives back the lease that was granted under `number`.
+/// Releases a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// The lease.
@@ -159,7 +158,7 @@
     pub number: FencingNumber,
 }
 
-/// The engine of `upstream` has carried out `action`.
+/// Records that the engine of an upstream has executed an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderDone {
     /// The lease under which the order was given.
@@ -168,14 +167,14 @@
     pub number: FencingNumber,
     /// The upstream.
     pub upstream: UpstreamName,
-    /// The run of its engine; a restarted engine has lost what it was ordered to load.
+    /// The run of its engine; a restarted engine has lost what it loaded.
     pub incarnation: Incarnation,
-    /// What was done.
+    /// The executed action.
     pub action: Action,
 }
 
 impl LedgerOp {
-    /// An intent for `key`.
+    /// Creates the intent to run `attempt` of the call with `key`.
     #[must_use]
     pub fn intent(
         account: &AccountName,
@@ -199,10 +198,10 @@
 }
 
 impl Command {
-    /// The bytes to write to the log: a version and the command.
+    /// Encodes the command for the log, preceded by a version byte.
     ///
     /// # Panics
-    /// Never: every field of a command can be encoded, and a vector takes any length.
+    /// Never: every field of a command can be encoded, and the buffer grows as needed.
     ///
     /// ```
     /// use coltsfootnotch_state::{Command, LogTime, Op};
@@ -215,10 +214,11 @@
         postcard::to_extend(self, vec![COMMAND_VERSION]).expect("a command can be encoded")
     }
 
-    /// Reads what [`Command::encode`] wrote.
+    /// Decodes the bytes written by [`Command::encode`].
     ///
     /// # Errors
-    /// Returns a [`CodecError`] for bytes of another version, cut off, damaged or too long.
+    /// Returns a [`CodecError`] if the bytes are empty, malformed, of another version, or longer
+    /// than the command.
     pub fn decode(bytes: &[u8]) -> Result<Self, CodecError> {
         let (&version, body) = bytes.split_first().ok_or(CodecError::Empty)?;
         if version != COMMAND_VERSION {
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -1,19 +1,18 @@
-//! The configuration in force, and which ones were accepted before.
+//! The configuration in force and the digests of earlier ones.
 
 use std::collections::BTreeMap;
 
 use crate::{ApplyConfig, BodyDigest, ConfigReply};
 
-/// Digests that are remembered; an operator who resends a change older than 4,096 accepted ones is
-/// told that it is stale rather than that it was accepted.
-pub(crate) const HISTORY: usize = 4_096;
+/// Number of digests kept. A resent configuration older than these is answered as stale.
+pub(crate) const MAX_HISTORY: usize = 4_096;
 
-/// Largest manifest in bytes; 5,700 accounts take about a megabyte.
+/// Maximum size of a manifest in bytes; 5,700 accounts take about a megabyte.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The configuration in force.
+/// An accepted configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Accepted {
+pub struct AcceptedConfig {
     /// Its number.
     pub number: u64,
     /// Its digest.
@@ -22,34 +21,34 @@
     pub body: Vec<u8>,
 }
 
-/// Configurations that were accepted. The highest number is in force.
+/// Accepted configurations; the one with the highest number is in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ConfigState {
-    pub(crate) in_force: Option<Accepted>,
+    pub(crate) in_force: Option<AcceptedConfig>,
     pub(crate) history: BTreeMap<u64, BodyDigest>,
 }
 
 impl ConfigState {
-    /// The configuration in force, if any was ever accepted.
+    /// The configuration in force, or `None` before the first was accepted.
     #[must_use]
-    pub fn in_force(&self) -> Option<&Accepted> {
+    pub fn in_force(&self) -> Option<&AcceptedConfig> {
         self.in_force.as_ref()
     }
 
-    /// The number in force; zero when none was ever accepted.
+    /// The number in force; zero before the first was accepted.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.in_force.as_ref().map_or(0, |c| c.number)
     }
 
-    /// The digest accepted under `number`, if it is still remembered.
+    /// The digest accepted under `number`, unless it was dropped from the history.
     #[must_use]
     pub fn digest_of(&self, number: u64) -> Option<BodyDigest> {
         self.history.get(&number).copied()
     }
 
-    /// The answer to `req` without any change, for a host that wants to know before it proposes.
-    /// `None` when the log has to decide.
+    /// The reply to `req` if the accepted configurations already decide it, so that a host need not
+    /// propose it. `None` if `req` would be a new configuration.
     #[must_use]
     pub fn known(&self, req: &ApplyConfig) -> Option<ConfigReply> {
         let (number, digest) = (req.number, req.digest);
@@ -83,17 +82,17 @@
     fn accept(&mut self, req: &ApplyConfig) -> ConfigReply {
         assert!(
             req.number > self.number(),
-            "configuration {} would go back to {}",
+            "configuration number {} decreases to {}",
             self.number(),
             req.number
         );
-        self.in_force = Some(Accepted {
+        self.in_force = Some(AcceptedConfig {
             number: req.number,
             digest: req.digest,
             body: req.body.clone(),
         });
         self.history.insert(req.number, req.digest);
-        while self.history.len() > HISTORY {
+        while self.history.len() > MAX_HISTORY {
             self.history.pop_first();
         }
         ConfigReply::Accepted {
--- a/crates/state/src/digest.rs
+++ b/crates/state/src/digest.rs
@@ -1,10 +1,10 @@
-//! Digests of bodies and of idempotency keys.
+//! Digests of bodies and idempotency keys.
 
 use derive_more::{Debug, Display};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// SHA-256 of a body: of a manifest, of a request or of an answer.
+/// SHA-256 of a manifest, request or answer.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -13,7 +13,7 @@
 pub struct BodyDigest(pub [u8; 32]);
 
 impl BodyDigest {
-    /// The digest of `body`.
+    /// Computes the digest of `body`.
     ///
     /// ```
     /// use coltsfootnotch_state::BodyDigest;
@@ -27,8 +27,8 @@
 
 /// The first 128 bits of SHA-256 of an idempotency key.
 ///
-/// The ledger stores this in place of the key, which a caller may make long: the cost of a record
-/// is then known beforehand. Two keys of one account that collide would be refused as a mismatch.
+/// The ledger stores the digest instead of the key, so that records have a fixed size. If two keys
+/// of one account collide, the second is refused as a mismatch.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -37,7 +37,7 @@
 pub struct KeyDigest(pub [u8; 16]);
 
 impl KeyDigest {
-    /// The digest of the text of a key.
+    /// Computes the digest of the text of a key.
     #[must_use]
     pub fn of(key: &str) -> Self {
         let whole: [u8; 32] = Sha256::digest(key.as_bytes()).into();
@@ -46,7 +46,7 @@
         Self(first)
     }
 
-    /// The 64 bits that stand for a key once its record has expired.
+    /// The 64 bits stored for a key after its record has expired.
     pub(crate) fn tombstone(self) -> u64 {
         let mut first = [0; 8];
         first.copy_from_slice(&self.0[..8]);
--- a/crates/state/src/drift.rs
+++ b/crates/state/src/drift.rs
@@ -1,30 +1,29 @@
-//! The bound on how far the clocks of two hosts drift apart.
+//! The bound on clock drift between hosts.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How much faster or slower than real time any host's monotonic clock may run.
+/// Maximum rate by which the monotonic clock of any host deviates from real time.
 ///
-/// Used in two places: a lease holder stops early by its own clock ([`DriftBound::shorten`]), and a
-/// new holder waits longer before it orders engines that ignore fencing numbers
-/// ([`DriftBound::lengthen`]). Clocks need not agree on the time of day anywhere.
+/// A lease holder stops early by this bound ([`DriftBound::shorten`]), and a new holder waits
+/// longer before it sends orders to engines that ignore fencing numbers ([`DriftBound::lengthen`]).
+/// Wall clocks need not agree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DriftBound {
     parts_per_million: u32,
 }
 
 impl DriftBound {
-    /// 1,000 ppm: quartz drifts up to about 100 ppm and time daemons slew by up to 500 ppm, so this
-    /// is safe with both at once.
+    /// 1,000 ppm: quartz drifts up to about 100 ppm, and time daemons slew by up to 500 ppm.
     pub const DEFAULT: Self = Self {
         parts_per_million: 1_000,
     };
 
-    /// The largest bound that makes sense: a clock wrong by a tenth is broken.
+    /// Upper limit of the bound: a clock that is off by more than a tenth is broken.
     pub const MAX_PARTS_PER_MILLION: u32 = 100_000;
 
-    /// A bound in parts per million, at most [`DriftBound::MAX_PARTS_PER_MILLION`].
+    /// Creates a bound in parts per million, capped at [`DriftBound::MAX_PARTS_PER_MILLION`].
     #[must_use]
     pub fn new(parts_per_million: u32) -> Self {
         Self {
@@ -32,16 +31,16 @@
         }
     }
 
-    /// A span that has surely not passed on another host's clock when this host's clock has measured
-    /// it: `d (1 - e) / (1 + e)`, since this clock may be slow while the other is fast.
+    /// The local duration within which at most `d` passes on any other host: `d (1 - e) / (1 + e)`,
+    /// for a slow local clock and a fast remote one.
     #[must_use]
     pub fn shorten(self, d: Duration) -> Duration {
         let e = u128::from(self.parts_per_million);
         scale(d, 1_000_000 - e, 1_000_000 + e)
     }
 
-    /// A span after which `d` has surely passed on another host's clock too: `d (1 + e) / (1 - e)`,
-    /// rounded up.
+    /// The local duration after which at least `d` has passed on any other host:
+    /// `d (1 + e) / (1 - e)`, rounded up.
     #[must_use]
     pub fn lengthen(self, d: Duration) -> Duration {
         let e = u128::from(self.parts_per_million);
@@ -55,7 +54,7 @@
     }
 }
 
-fn scale(d: Duration, up: u128, down: u128) -> Duration {
-    let nanos = d.as_nanos() * up / down;
+fn scale(d: Duration, numerator: u128, denominator: u128) -> Duration {
+    let nanos = d.as_nanos() * numerator / denominator;
     Duration::from_nanos(u64::try_from(nanos).unwrap_or(u64::MAX))
 }
--- a/crates/state/src/error.rs
+++ b/crates/state/src/error.rs
@@ -1,62 +1,62 @@
-//! Why bytes are not a command or a snapshot.
+//! Errors in decoding commands and snapshots.
 
 use derive_more::{Display, Error, From};
 
-/// Why bytes from the log are not a command.
+/// Errors in decoding a command.
 #[derive(Debug, Display, Error, From)]
 pub enum CodecError {
     /// There are no bytes.
-    #[display("a command has no bytes")]
+    #[display("the command is empty")]
     Empty,
-    /// The command was written by a later program.
-    #[display("a command has version {found}, which this program does not know")]
+    /// The format version is unsupported.
+    #[display("unsupported command version {found}")]
     #[from(skip)]
     Version {
         /// The version found.
         found: u8,
     },
-    /// The codec refused the bytes.
-    #[display("a command cannot be decoded")]
+    /// The bytes are malformed.
+    #[display("failed to decode the command")]
     Codec(postcard::Error),
-    /// Bytes are left over after the command.
-    #[display("a command is followed by {len} more bytes")]
+    /// Bytes follow the command.
+    #[display("{len} trailing bytes after the command")]
     #[from(skip)]
     Trailing {
-        /// How many bytes are left over.
+        /// Number of trailing bytes.
         len: usize,
     },
 }
 
-/// Why bytes are not a snapshot of the state.
+/// Errors in decoding a snapshot.
 #[derive(Debug, Display, Error, From)]
 pub enum SnapshotError {
-    /// The header is cut off or is not one of a snapshot.
-    #[display("a snapshot has no valid header")]
+    /// The header is truncated or lacks the magic number.
+    #[display("invalid snapshot header")]
     Header,
-    /// The snapshot was written by a later program.
-    #[display("a snapshot has version {found}, which this program does not know")]
+    /// The format version is unsupported.
+    #[display("unsupported snapshot version {found}")]
     #[from(skip)]
     Version {
         /// The version found.
         found: u16,
     },
     /// The checksum does not match.
-    #[display("a snapshot has the checksum {found:08x} in place of {expected:08x}")]
+    #[display("snapshot checksum mismatch: expected {expected:08x}, found {found:08x}")]
     #[from(skip)]
     Checksum {
-        /// Computed over the payload.
+        /// Checksum of the payload.
         found: u32,
-        /// Read from the header.
+        /// Checksum in the header.
         expected: u32,
     },
-    /// The codec refused the payload.
-    #[display("a snapshot cannot be decoded")]
+    /// The payload is malformed.
+    #[display("failed to decode the snapshot")]
     Codec(postcard::Error),
-    /// The payload contradicts itself.
-    #[display("a snapshot contradicts itself: {what}")]
+    /// The payload is inconsistent.
+    #[display("inconsistent snapshot: {what}")]
     #[from(skip)]
     Inconsistent {
-        /// What was found.
+        /// The inconsistency.
         #[error(not(source))]
         what: &'static str,
     },
--- a/crates/state/src/fence.rs
+++ b/crates/state/src/fence.rs
@@ -1,16 +1,16 @@
-//! Fencing numbers, and what an engine that checks them does.
+//! Fencing numbers and their check.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// The index of the log at which a lease was granted: unique, and higher than that of every lease
-/// granted before, whatever its name.
+/// The log index at which a lease was granted: unique, and higher than that of every lease granted
+/// before, regardless of its name.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
 pub struct FencingNumber(pub u64);
 
-/// What an engine that refuses old numbers does; also run by the sidecar in front of an engine.
+/// Refuses orders with a fencing number lower than the highest seen, as engines and sidecars do.
 ///
 /// ```
 /// use coltsfootnotch_state::{FenceCheck, FencingNumber};
@@ -25,7 +25,7 @@
 }
 
 impl FenceCheck {
-    /// Whether an order under `number` may be carried out.
+    /// Records `number` and returns whether an order under it may be executed.
     pub fn accept(&mut self, number: FencingNumber) -> bool {
         let is_current = Some(number) >= self.highest;
         if is_current {
--- a/crates/state/src/finished.rs
+++ b/crates/state/src/finished_orders.rs
@@ -1,37 +1,37 @@
-//! Orders that engines have carried out, kept in the replicated state.
+//! Finished orders of engines in the replicated state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use coltsfootnotch_types::{Incarnation, UpstreamName};
 
-use crate::{Action, LogTime, OrderDone, Placement, Reported};
+use crate::{Action, LogTime, OrderDone, Placement, ReportedPlacement};
 
-/// Finished orders that are kept for one upstream. Only those of the last report lag matter, and an
-/// engine gets one order at a time.
+/// Finished orders kept for each upstream. Only those within the report lag are used, and an engine
+/// runs one order at a time.
 const MAX_FINISHED: usize = 32;
 
-/// One finished order.
+/// A finished order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Finished {
-    /// When the log recorded it.
+pub struct FinishedOrder {
+    /// Log time at which it was recorded.
     pub at: LogTime,
-    /// What was done.
+    /// The executed action.
     pub action: Action,
 }
 
-/// The finished orders of each upstream's present engine run.
+/// The finished orders of the current engine run of each upstream.
 ///
-/// They stand in for the engine's report for as long as it may lag. After that the report counts
-/// alone, so that an engine which has lost an adapter gets it again.
+/// They supplement the engine's report while it may lag. After that only the report is used, so
+/// that an engine which has lost an adapter loads it again.
 #[derive(Debug, Clone, Default)]
 pub struct FinishedOrders {
-    pub(crate) by_upstream: BTreeMap<UpstreamName, (Incarnation, Vec<Finished>)>,
+    pub(crate) by_upstream: BTreeMap<UpstreamName, (Incarnation, Vec<FinishedOrder>)>,
 }
 
 impl FinishedOrders {
-    /// Every upstream with its engine run and finished orders, oldest first.
-    pub fn iter(&self) -> impl Iterator<Item = (&UpstreamName, Incarnation, &[Finished])> {
+    /// Upstreams with their engine run and finished orders, oldest first.
+    pub fn iter(&self) -> impl Iterator<Item = (&UpstreamName, Incarnation, &[FinishedOrder])> {
         self.by_upstream
             .iter()
             .map(|(upstream, (incarnation, done))| (upstream, *incarnation, done.as_slice()))
@@ -46,15 +46,15 @@
             *entry = (done.incarnation, Vec::new());
         }
         let orders = &mut entry.1;
-        // The same order twice in a row was either proposed twice, or given again since the engine
-        // had lost what it loaded; in both cases the report lags behind the later one.
+        // A repeated order was proposed twice, or sent again because the engine had lost what it
+        // loaded; in both cases the report lags behind the later one.
         if let Some(last) = orders.last_mut()
             && last.action == done.action
         {
             last.at = at;
             return;
         }
-        orders.push(Finished {
+        orders.push(FinishedOrder {
             at,
             action: done.action.clone(),
         });
@@ -63,10 +63,15 @@
         }
     }
 
-    /// What an engine has: its report, and what it has carried out since a report that lags by up to
-    /// `lag` may have been made.
+    /// The placement of an engine at log time `at`: its report, updated with the orders that it has
+    /// finished within `lag`, the maximum age of the report.
     #[must_use]
-    pub fn overlay(&self, reported: &Reported, at: LogTime, lag: Duration) -> Placement {
+    pub fn current_placement(
+        &self,
+        reported: &ReportedPlacement,
+        at: LogTime,
+        lag: Duration,
+    ) -> Placement {
         let mut placement = reported.placement.clone();
         let Some((incarnation, done)) = self.by_upstream.get(&reported.upstream) else {
             return placement;
--- a/crates/state/src/key.rs
+++ b/crates/state/src/key.rs
@@ -1,49 +1,48 @@
-//! Idempotency keys, and when a key was issued.
+//! Idempotency keys and their issue times.
 //!
-//! After its record has expired nothing in a plain key tells it from a new one. A *dated* key carries
-//! the log time at which it was made (which the fleet states in its answers) in its own text, so the
-//! ledger can refuse it as too old without remembering it. The date is part of the key and cannot
-//! be changed without making another key; it is compared with log time alone, so no clock of a
-//! caller takes part.
+//! A *plain* key whose record has expired cannot be distinguished from a new one without a
+//! tombstone. A *dated* key contains the log time of its issue, which the fleet states in its
+//! answers, so that the ledger can refuse it as too old without a tombstone. The date is part of
+//! the key and is compared with log time only, never with a clock of the caller.
 
 use derive_more::{Display, Error};
 
 use crate::{KeyDigest, LogTime};
 
-/// What a dated key starts with; then decimal seconds of log time, a dot and the caller's text.
+/// Prefix of a dated key, followed by decimal seconds of log time, a dot and the caller's text.
 const DATED_PREFIX: &str = "ledger-";
 
-/// Longest accepted key in bytes; longer ones would only cost memory in the entry.
+/// Maximum length of a key in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Why a text is not an idempotency key.
+/// Errors in parsing an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum KeyError {
-    /// The key has no characters.
+    /// The key is empty.
     #[display("an idempotency key is empty")]
     Empty,
     /// The key is too long.
     #[display("an idempotency key has {len} bytes, more than {MAX_KEY_BYTES}")]
     TooLong {
-        /// Length found, in bytes.
+        /// Length in bytes.
         len: usize,
     },
 }
 
-/// An idempotency key as the ledger sees it.
+/// A parsed idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IdempotencyKey {
     /// Digest of the whole text.
     pub digest: KeyDigest,
-    /// When a dated key was made; `None` for a plain key.
+    /// Issue time of a dated key; `None` for a plain key.
     pub issued: Option<LogTime>,
 }
 
 impl IdempotencyKey {
-    /// Reads the text of an `Idempotency-Key` header.
+    /// Parses the value of an `Idempotency-Key` header.
     ///
     /// # Errors
-    /// Returns a [`KeyError`] for a text that is empty or too long.
+    /// Returns a [`KeyError`] if the value is empty or too long.
     ///
     /// ```
     /// use coltsfootnotch_state::{IdempotencyKey, LogTime};
@@ -61,12 +60,12 @@
         }
         Ok(Self {
             digest: KeyDigest::of(text),
-            issued: issued(text),
+            issued: issue_time(text),
         })
     }
 }
 
-fn issued(text: &str) -> Option<LogTime> {
+fn issue_time(text: &str) -> Option<LogTime> {
     let (seconds, _) = text.strip_prefix(DATED_PREFIX)?.split_once('.')?;
     if !seconds.bytes().all(|b| b.is_ascii_digit()) {
         return None;
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -1,9 +1,9 @@
 //! Leases in the replicated state.
 //!
-//! A lease is granted for a time counted from the stamp of its command, which the leader makes after
-//! the holder has sent its request. Log time never runs ahead of real time, so by the time that the
-//! log says a lease has expired, its holder, which counts from the sending and stops early by the
-//! drift bound ([`crate::LeaseHolder`]), has stopped.
+//! A lease runs from the stamp of its command, which the leader sets after the holder has sent the
+//! request. Log time never runs ahead of real time, and the holder counts from the sending and
+//! stops early by the drift bound ([`crate::LeaseHolder`]). A lease that has expired in the log is
+//! therefore no longer in use.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,61 +12,61 @@
 
 use crate::{FencingNumber, Grant, LeaseReply, LogTime, ProcessId, Release, Renew};
 
-/// Shortest lease: below this, renewals over a slow disk would be late.
+/// Minimum duration of a lease; shorter ones could not be renewed in time over a slow disk.
 const MIN_TTL: Duration = Duration::from_secs(1);
 
-/// Longest lease: what is waited for after its holder was lost.
+/// Maximum duration of a lease, and so the longest wait for the lease of a lost holder.
 const MAX_TTL: Duration = Duration::from_secs(600);
 
-/// A stamp is cut to whole milliseconds, so the lease may really have begun up to this much after its
-/// stamp. Without it the expiry came a fraction of a millisecond before the holder stopped.
+/// Added to each lease since stamps are truncated to milliseconds: a lease could otherwise expire a
+/// fraction of a millisecond before its holder stops.
 const STAMP_ROUNDING: Duration = Duration::from_millis(1);
 
-/// Where a lease stands.
+/// The state of a lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lease {
-    /// Who holds it, or held it last.
+    /// The current or last holder.
     pub holder: ProcessId,
-    /// Under which number.
+    /// The fencing number of this grant.
     pub number: FencingNumber,
-    /// When it expires.
-    pub until: LogTime,
-    /// Whether its holder gave it back with no order in flight.
+    /// Log time at which it expires.
+    pub expires_at: LogTime,
+    /// Whether its holder released it, with no order in flight.
     pub released: bool,
-    /// The number before, when that lease expired without having been released.
-    pub after_expired: Option<FencingNumber>,
+    /// The fencing number of the previous grant if it expired without a release.
+    pub expired_predecessor: Option<FencingNumber>,
 }
 
 impl Lease {
-    /// Whether the holder may still believe that it holds the lease at `now`.
+    /// Whether the lease is neither released nor expired at `now`.
     #[must_use]
     pub fn is_held(&self, now: LogTime) -> bool {
-        !self.released && now < self.until
+        !self.released && now < self.expires_at
     }
 
-    fn granted(&self, ttl: Duration) -> LeaseReply {
+    fn granted_reply(&self, ttl: Duration) -> LeaseReply {
         LeaseReply::Granted {
             number: self.number,
             ttl,
-            after_expired: self.after_expired,
+            expired_predecessor: self.expired_predecessor,
         }
     }
 }
 
-/// Every lease that was ever granted.
+/// All leases ever granted.
 #[derive(Debug, Clone, Default)]
 pub struct Leases {
     pub(crate) by_name: BTreeMap<LeaseName, Lease>,
 }
 
 impl Leases {
-    /// The lease, if it was ever granted.
+    /// The lease called `name`, or `None` if it was never granted.
     #[must_use]
     pub fn get(&self, name: &LeaseName) -> Option<&Lease> {
         self.by_name.get(name)
     }
 
-    /// Whether `number` is that of the present holder of `name` at `now`.
+    /// Whether the lease called `name` is held under `number` at `now`.
     #[must_use]
     pub fn is_current(&self, name: &LeaseName, number: FencingNumber, now: LogTime) -> bool {
         self.get(name)
@@ -77,7 +77,7 @@
         if !(MIN_TTL..=MAX_TTL).contains(&req.ttl) {
             return LeaseReply::BadTtl;
         }
-        let until = expiry(now, req.ttl);
+        let expires_at = expiry(now, req.ttl);
         let before = self.by_name.get_mut(&req.lease);
         if let Some(lease) = before
             && lease.is_held(now)
@@ -85,48 +85,48 @@
             if lease.holder != req.holder {
                 return LeaseReply::Held {
                     holder: lease.holder.clone(),
-                    until: lease.until,
+                    expires_at: lease.expires_at,
                 };
             }
-            // The holder asks again because the answer was lost; the expiry never moves back.
-            lease.until = lease.until.max(until);
-            return lease.granted(req.ttl);
+            // A resent request whose reply was lost; the expiry never moves back.
+            lease.expires_at = lease.expires_at.max(expires_at);
+            return lease.granted_reply(req.ttl);
         }
-        self.hand_over(FencingNumber(index), now, until, req)
+        self.grant_new(FencingNumber(index), now, expires_at, req)
     }
 
-    fn hand_over(
+    fn grant_new(
         &mut self,
         number: FencingNumber,
         now: LogTime,
-        until: LogTime,
+        expires_at: LogTime,
         req: &Grant,
     ) -> LeaseReply {
         let before = self.by_name.get(&req.lease);
         if let Some(lease) = before {
             assert!(
                 !lease.is_held(now),
-                "lease {} has two holders, {} and {}",
+                "lease {} is still held by {} when granted to {}",
                 req.lease,
                 lease.holder,
                 req.holder
             );
             assert!(
                 lease.number < number,
-                "lease {} goes back from number {} to {number}",
+                "fencing number of lease {} decreases from {} to {number}",
                 req.lease,
                 lease.number
             );
         }
-        let after_expired = before.filter(|l| !l.released).map(|l| l.number);
+        let expired_predecessor = before.filter(|l| !l.released).map(|l| l.number);
         let lease = Lease {
             holder: req.holder.clone(),
             number,
-            until,
+            expires_at,
             released: false,
-            after_expired,
+            expired_predecessor,
         };
-        let reply = lease.granted(req.ttl);
+        let reply = lease.granted_reply(req.ttl);
         self.by_name.insert(req.lease.clone(), lease);
         reply
     }
@@ -137,8 +137,8 @@
         }
         match self.by_name.get_mut(&req.lease) {
             Some(lease) if lease.number == req.number && lease.is_held(now) => {
-                lease.until = lease.until.max(expiry(now, req.ttl));
-                lease.granted(req.ttl)
+                lease.expires_at = lease.expires_at.max(expiry(now, req.ttl));
+                lease.granted_reply(req.ttl)
             }
             _ => LeaseReply::Lost,
         }
--- a/crates/state/src/holder.rs
+++ b/crates/state/src/lease_holder.rs
@@ -1,77 +1,78 @@
-//! What the holder of a lease may do, by its own clock alone.
+//! The holder's side of a lease, by the local clock alone.
 //!
-//! The holder counts from when it *sent* each request, which is before the leader stamped it, and
-//! stops after the lease shortened by the drift bound. It stops without any message, so a holder
-//! that is cut off, or whose leader is, stops in time as well.
+//! The lease is counted from when the request was *sent*, which is before the leader stamped it,
+//! and shortened by the drift bound. It ends without any message, so a partitioned holder stops in
+//! time.
 
 use std::time::Duration;
 
 use crate::{DriftBound, FencingNumber, LeaseReply};
 
-/// How an engine is protected from the orders of an earlier holder.
+/// How an engine is protected from orders of an earlier holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guard {
-    /// The engine refuses orders with old numbers: the new holder orders at once.
+    /// The engine refuses orders with old numbers: a new holder may send orders at once.
     Numbers,
-    /// The engine ignores numbers: a new holder first waits until every order of an earlier one that
-    /// expired unreleased has surely ended, and each of its own ends within the lease.
+    /// The engine ignores numbers. If the previous lease expired without a release, the new holder
+    /// waits until all orders sent under it have ended. Each of its own orders must end within the
+    /// lease.
     Wait {
-        /// Longest time from sending an order to its end; the sidecar in front of the engine aborts
-        /// it then.
+        /// Maximum time from sending an order to its end; the sidecar aborts it then.
         order_timeout: Duration,
     },
 }
 
-/// The holder's view of its lease.
+/// The local state of a lease that this process holds or requests.
 ///
 /// ```
 /// use std::time::Duration;
 /// use coltsfootnotch_state::{DriftBound, FencingNumber, Guard, LeaseHolder, LeaseReply};
 /// let sec = Duration::from_secs;
-/// let reply = LeaseReply::Granted { number: FencingNumber(9), ttl: sec(10), after_expired: None };
+/// let (number, ttl) = (FencingNumber(9), sec(10));
+/// let reply = LeaseReply::Granted { number, ttl, expired_predecessor: None };
 /// let mut holder = LeaseHolder::new(DriftBound::DEFAULT);
 /// holder.on_reply(sec(100), sec(101), &reply);
-/// assert!(holder.may_act(sec(109)));
-/// assert!(!holder.may_act(sec(110)), "it stops before the log can hand the lease on");
+/// assert!(holder.is_held(sec(109)));
+/// assert!(!holder.is_held(sec(110)), "the lease ends before it can be granted to another holder");
 /// assert!(!holder.may_order(sec(109), Guard::Wait { order_timeout: sec(2) }));
 /// ```
 #[derive(Debug, Clone)]
 pub struct LeaseHolder {
     drift: DriftBound,
     held: Option<Held>,
-    given_up: Option<FencingNumber>,
+    released: Option<FencingNumber>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Held {
     number: FencingNumber,
     granted: Duration,
-    after_expired: bool,
+    has_expired_predecessor: bool,
     stop: Duration,
 }
 
 impl LeaseHolder {
-    /// A process that holds no lease.
+    /// Creates the state of a process that holds no lease.
     #[must_use]
     pub fn new(drift: DriftBound) -> Self {
         Self {
             drift,
             held: None,
-            given_up: None,
+            released: None,
         }
     }
 
-    /// Takes the reply, received at `now`, to a `Grant` or `Renew` that was sent at `sent`.
+    /// Applies the reply, received at `now`, to a `Grant` or `Renew` that was sent at `sent`.
     ///
-    /// A request that was sent several times counts from its *first* sending, unless the replies can
-    /// be told apart.
+    /// For a request that was sent several times, `sent` is the time of its *first* sending, unless
+    /// the replies can be matched to each sending.
     pub fn on_reply(&mut self, sent: Duration, now: Duration, reply: &LeaseReply) {
         match reply {
             LeaseReply::Granted {
                 number,
                 ttl,
-                after_expired,
-            } => self.extend(sent, now, *number, *ttl, after_expired.is_some()),
+                expired_predecessor,
+            } => self.extend(sent, now, *number, *ttl, expired_predecessor.is_some()),
             LeaseReply::Released | LeaseReply::Lost | LeaseReply::Held { .. } => self.held = None,
             LeaseReply::BadTtl => {}
         }
@@ -83,10 +84,10 @@
         now: Duration,
         number: FencingNumber,
         ttl: Duration,
-        after_expired: bool,
+        has_expired_predecessor: bool,
     ) {
-        // A late reply from before the release: the lease may have gone to another holder since.
-        if Some(number) <= self.given_up {
+        // A late reply from before the release: another process may hold the lease by now.
+        if Some(number) <= self.released {
             return;
         }
         let stop = sent + self.drift.shorten(ttl);
@@ -97,21 +98,21 @@
                 self.held = Some(Held {
                     number,
                     granted: now,
-                    after_expired,
+                    has_expired_predecessor,
                     stop,
                 });
             }
         }
     }
 
-    /// Gives the lease up before it is released in the log.
+    /// Stops using the lease and returns the fencing number to release in the log.
     pub fn give_up(&mut self) -> Option<FencingNumber> {
         let number = self.held.take().map(|h| h.number)?;
-        self.given_up = Some(number);
+        self.released = Some(number);
         Some(number)
     }
 
-    /// The fencing number, while the lease is held at `now`.
+    /// The fencing number if the lease is held at `now`.
     #[must_use]
     pub fn number(&self, now: Duration) -> Option<FencingNumber> {
         self.held.filter(|h| now < h.stop).map(|h| h.number)
@@ -119,17 +120,17 @@
 
     /// Whether the lease is held at `now`.
     #[must_use]
-    pub fn may_act(&self, now: Duration) -> bool {
+    pub fn is_held(&self, now: Duration) -> bool {
         self.number(now).is_some()
     }
 
-    /// Whether an order may be sent at `now` to an engine protected by `guard`.
+    /// Whether an order may be sent at `now` to an engine with fencing `mode`.
     #[must_use]
-    pub fn may_order(&self, now: Duration, guard: Guard) -> bool {
+    pub fn may_order(&self, now: Duration, mode: Guard) -> bool {
         let Some(held) = self.held.filter(|h| now < h.stop) else {
             return false;
         };
-        match guard {
+        match mode {
             Guard::Numbers => true,
             Guard::Wait { order_timeout } => {
                 let ends_in_time = now + order_timeout <= held.stop;
@@ -139,15 +140,14 @@
         }
     }
 
-    /// When to ask for the lease again: after a third of the time left at the last grant, so that two
-    /// requests may be lost.
+    /// When to renew: a third into the lease of duration `ttl`, so that two requests may be lost.
     #[must_use]
     pub fn renew_at(&self, ttl: Duration) -> Option<Duration> {
         self.held.map(|h| h.stop.saturating_sub(ttl * 2 / 3))
     }
 
     fn wait(&self, held: &Held, order_timeout: Duration) -> Duration {
-        match held.after_expired {
+        match held.has_expired_predecessor {
             true => self.drift.lengthen(order_timeout),
             false => Duration::ZERO,
         }
--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -1,48 +1,48 @@
-//! The ledger of calls that may not be repeated.
+//! The ledger of at-most-once calls.
 //!
-//! A key goes from unknown to open (its intent is committed before the call leaves), to done (its
-//! outcome is committed before the caller is answered) and, after the retention, to expired. An open
-//! attempt that was disowned goes back to idle, and only then may another start. What expires is
-//! never forgotten in a way that would let it run again: a plain key leaves a tombstone of 64 bits,
-//! and a dated one is recognised by its own issue time against [`Ledger::floor`].
+//! The intent of a call is committed before it is dispatched (open), and its outcome before the
+//! caller is answered (done). A record expires after the retention. If the open attempt is closed,
+//! the key returns to idle, and only then may another attempt start. A key never runs again after
+//! its record has expired: a plain key leaves a 64-bit tombstone, and a dated key is refused if its
+//! issue time is not after [`Ledger::floor`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use coltsfootnotch_types::AccountName;
 
 use crate::{
-    BookingRecord, BookingState, KeyDigest, LedgerLimits, LedgerOp, LedgerRefusal, LedgerReply,
-    LogTime, Record, Usage,
+    AccountUsage, BookingRecord, BookingState, KeyDigest, LedgerLimits, LedgerOp, LedgerRefusal,
+    LedgerReply, LogTime, Record,
 };
 
 mod write;
 
-/// Records that one command expires at most, so that no command holds the log up: the rest follow
+/// Maximum number of records expired by one command, so that none stalls the log; the rest expire
 /// with the next.
 const MAX_EXPIRED_PER_COMMAND: u32 = 4_096;
 
-/// What the ledger has answered since this process started; not part of the replicated state.
+/// Counters of ledger replies since this process started; not part of the replicated state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LedgerCounters {
-    /// Intents that may be dispatched.
+    /// Intents whose attempt may be dispatched.
     pub started: u64,
-    /// Intents answered from the record.
+    /// Intents answered with a recorded outcome.
     pub already_done: u64,
-    /// Intents that met an open attempt.
+    /// Intents refused because another attempt is open.
     pub in_doubt: u64,
-    /// Keys used with another body.
+    /// Keys reused with another body.
     pub mismatches: u64,
     /// Keys older than the retention.
     pub too_old: u64,
-    /// Intents refused for want of room.
-    pub full: u64,
-    /// Answers recorded, settlements included.
+    /// Other refused writes, such as those over a limit.
+    pub refused: u64,
+    /// Outcomes recorded, including those found by reread calls.
     pub recorded: u64,
     /// Attempts closed.
     pub closed: u64,
     /// Records expired.
     pub expired: u64,
-    /// Writes that break the protocol.
+    /// Writes that violate the protocol.
     pub violations: u64,
 }
 
@@ -51,7 +51,7 @@
 pub(crate) struct AccountLedger {
     pub(crate) records: BTreeMap<KeyDigest, BookingRecord>,
     pub(crate) tombstones: BTreeSet<u64>,
-    pub(crate) usage: Usage,
+    pub(crate) usage: AccountUsage,
 }
 
 /// The keys of every account.
@@ -60,7 +60,7 @@
     pub(crate) limits: LedgerLimits,
     pub(crate) floor: Option<LogTime>,
     pub(crate) accounts: BTreeMap<AccountName, AccountLedger>,
-    due: BTreeSet<(LogTime, AccountName, KeyDigest)>,
+    by_expiry: BTreeSet<(LogTime, AccountName, KeyDigest)>,
     counters: LedgerCounters,
 }
 
@@ -71,39 +71,39 @@
         self.limits
     }
 
-    /// Dated keys that were made at this time or earlier are too old; `None` while the log is
-    /// younger than the retention.
+    /// Dated keys issued at this time or earlier are too old; `None` while log time is below the
+    /// retention.
     #[must_use]
     pub fn floor(&self) -> Option<LogTime> {
         self.floor
     }
 
-    /// What was answered since this process started.
+    /// Counters of replies since this process started.
     #[must_use]
     pub fn counters(&self) -> LedgerCounters {
         self.counters
     }
 
-    /// The record of `key`, for a read that needs no log.
+    /// The local record of `key`, read without a log entry.
     #[must_use]
     pub fn get(&self, account: &AccountName, key: KeyDigest) -> Option<&BookingRecord> {
         self.accounts.get(account)?.records.get(&key)
     }
 
-    /// What `account` costs.
+    /// The usage of `account`.
     #[must_use]
-    pub fn usage(&self, account: &AccountName) -> Usage {
+    pub fn usage(&self, account: &AccountName) -> AccountUsage {
         self.accounts
             .get(account)
-            .map_or_else(Usage::default, |a| a.usage)
+            .map_or_else(AccountUsage::default, |a| a.usage)
     }
 
-    /// The accounts with records or tombstones, and what they cost.
-    pub fn usages(&self) -> impl Iterator<Item = (&AccountName, Usage)> {
+    /// The accounts with records or tombstones and their usage.
+    pub fn usages(&self) -> impl Iterator<Item = (&AccountName, AccountUsage)> {
         self.accounts.iter().map(|(name, a)| (name, a.usage))
     }
 
-    /// Moves the floor with log time; called before each command is applied.
+    /// Advances the floor to log time `now`; called before each command is applied.
     pub(crate) fn advance(&mut self, now: LogTime) {
         let floor = now.before(self.limits.retention());
         if floor > LogTime::default() {
@@ -117,37 +117,39 @@
 
     pub(crate) fn apply(&mut self, now: LogTime, op: &LedgerOp) -> LedgerReply {
         let reply = match &op.write {
-            Record::Intent(intent) => self.intend(now, op, intent),
-            Record::Outcome(attempt, outcome) => self.end(op, *attempt, outcome),
+            Record::Intent(intent) => self.apply_intent(now, op, intent),
+            Record::Outcome(attempt, outcome) => self.record_outcome(op, *attempt, outcome),
             Record::Close(close) => self.close(op, close),
-            Record::Settle(settle) => match self.end(op, settle.attempt, &settle.outcome) {
-                LedgerReply::Recorded => LedgerReply::Settled,
-                other => other,
-            },
+            Record::Settle(settle) => {
+                match self.record_outcome(op, settle.attempt, &settle.outcome) {
+                    LedgerReply::Recorded => LedgerReply::Settled,
+                    other => other,
+                }
+            }
         };
         self.count(&reply);
         reply
     }
 
-    /// Expires records that are due, oldest first; returns how many.
+    /// Removes records that have expired, oldest first; returns how many.
     pub(crate) fn expire(&mut self, now: LogTime) -> u32 {
         let mut expired = 0;
         while expired < MAX_EXPIRED_PER_COMMAND {
-            match self.due.first() {
-                Some((due, ..)) if *due <= now => {}
+            match self.by_expiry.first() {
+                Some((expires_at, ..)) if *expires_at <= now => {}
                 _ => break,
             }
-            let Some((_, account, key)) = self.due.pop_first() else {
+            let Some((_, account, key)) = self.by_expiry.pop_first() else {
                 break;
             };
-            self.forget(&account, key);
+            self.expire_record(&account, key);
             expired += 1;
         }
         self.counters.expired += u64::from(expired);
         expired
     }
 
-    fn forget(&mut self, account: &AccountName, key: KeyDigest) {
+    fn expire_record(&mut self, account: &AccountName, key: KeyDigest) {
         let Some(a) = self.accounts.get_mut(account) else {
             return;
         };
@@ -156,9 +158,9 @@
         };
         a.usage.remove(&record);
         match record.issued {
-            // With a retention that was raised meanwhile, the floor may still lie before the issue
-            // time of this key. Dropping the record alone would let the key run again; moving the
-            // floor refuses it, and with it a few keys that are as old and were never used.
+            // If the retention was raised meanwhile, the floor may lie before the issue time of
+            // this key, and the key could run again. Raising the floor refuses it, along with
+            // unused keys issued no later.
             Some(issued) => self.floor = self.floor.max(Some(issued)),
             None => {
                 a.tombstones.insert(key.tombstone());
@@ -167,7 +169,7 @@
         }
     }
 
-    /// A ledger without records, to be filled from a snapshot.
+    /// Creates a ledger without records, to be filled from a snapshot.
     pub(crate) fn restored(limits: LedgerLimits, floor: Option<LogTime>) -> Self {
         Self {
             limits,
@@ -176,18 +178,18 @@
         }
     }
 
-    /// Adds a record read from a snapshot; returns `false` if it is there already.
+    /// Adds a record read from a snapshot; returns `false` for a duplicate key.
     pub(crate) fn restore_record(
         &mut self,
         account: &AccountName,
         key: KeyDigest,
         record: BookingRecord,
     ) -> bool {
-        let due = record.due;
+        let expires_at = record.expires_at;
         let a = self.accounts.entry(account.clone()).or_default();
         a.usage.add(&record);
         let is_new = a.records.insert(key, record).is_none();
-        self.due.insert((due, account.clone(), key)) && is_new
+        self.by_expiry.insert((expires_at, account.clone(), key)) && is_new
     }
 
     /// Adds the tombstones read from a snapshot.
@@ -207,10 +209,10 @@
             LedgerReply::TooOld => &mut c.too_old,
             LedgerReply::Recorded | LedgerReply::Settled => &mut c.recorded,
             LedgerReply::Closed => &mut c.closed,
-            LedgerReply::Refused(LedgerRefusal::AttemptClosed | LedgerRefusal::NotItsProcess) => {
+            LedgerReply::Refused(LedgerRefusal::AttemptClosed | LedgerRefusal::NotAuthorized) => {
                 &mut c.violations
             }
-            LedgerReply::Refused(_) => &mut c.full,
+            LedgerReply::Refused(_) => &mut c.refused,
         };
         *counter += 1;
     }
--- a/crates/state/src/ledger/write.rs
+++ b/crates/state/src/ledger/write.rs
@@ -1,4 +1,4 @@
-//! The four writes of the ledger.
+//! The writes to the ledger.
 
 use super::{
     AccountLedger, BookingRecord, BookingState, Ledger, LedgerOp, LedgerRefusal, LedgerReply,
@@ -7,47 +7,53 @@
 use crate::{AttemptId, Close, Disowned, Intent, Outcome};
 
 impl Ledger {
-    pub(super) fn intend(&mut self, now: LogTime, op: &LedgerOp, intent: &Intent) -> LedgerReply {
+    pub(super) fn apply_intent(
+        &mut self,
+        now: LogTime,
+        op: &LedgerOp,
+        intent: &Intent,
+    ) -> LedgerReply {
         let limits = self.limits;
         let account = self.accounts.get_mut(&op.account);
         if let Some(record) = account.and_then(|a| a.records.get(&op.key)) {
-            return match known(record, intent, limits.attempts_per_key) {
+            return match reply_from_record(record, intent, limits.attempts_per_key) {
                 Some(reply) => reply,
                 None => self.start(now, op, intent),
             };
         }
-        if let Some(refused) = self.refuse_unknown(now, op, intent) {
+        if let Some(refused) = self.refuse_new_key(now, op, intent) {
             return refused;
         }
         let record = BookingRecord {
             body: intent.body,
-            due: now.after(limits.retention()),
+            expires_at: now.after(limits.retention()),
             issued: intent.issued,
             closed: Vec::new(),
             state: BookingState::Idle,
         };
-        self.due.insert((record.due, op.account.clone(), op.key));
+        self.by_expiry
+            .insert((record.expires_at, op.account.clone(), op.key));
         let a = self.accounts.entry(op.account.clone()).or_default();
         a.usage.add(&record);
         a.records.insert(op.key, record);
         self.start(now, op, intent)
     }
 
-    /// Why a key without a record may not start: it is too old, or there is no room to remember it.
-    fn refuse_unknown(&self, now: LogTime, op: &LedgerOp, intent: &Intent) -> Option<LedgerReply> {
+    /// The refusal of a key without a record: it is too old, or no record can be kept for it.
+    /// `None` if it may start.
+    fn refuse_new_key(&self, now: LogTime, op: &LedgerOp, intent: &Intent) -> Option<LedgerReply> {
         let limits = &self.limits;
         let none = AccountLedger::default();
         let a = self.accounts.get(&op.account).unwrap_or(&none);
-        let refused = |why| Some(LedgerReply::Refused(why));
+        let refused = |reason| Some(LedgerReply::Refused(reason));
         match intent.issued {
             Some(issued) if issued > now => return refused(LedgerRefusal::NotYetIssued),
             Some(issued) if Some(issued) <= self.floor => return Some(LedgerReply::TooOld),
             Some(_) => {}
             None if a.tombstones.contains(&op.key.tombstone()) => return Some(LedgerReply::TooOld),
-            // Without room for its tombstone the key could not be refused once its record has
-            // expired, and would run again; so it is not run at all.
-            None if !a.usage.has_tombstone_room(limits) => {
-                return refused(LedgerRefusal::PlainKeysUsedUp);
+            // Without a tombstone the key could run again after its record has expired.
+            None if !a.usage.has_tombstone_capacity(limits) => {
+                return refused(LedgerRefusal::PlainKeysExhausted);
             }
             None => {}
         }
@@ -58,22 +64,22 @@
     }
 
     fn start(&mut self, now: LogTime, op: &LedgerOp, intent: &Intent) -> LedgerReply {
-        self.change(op, |record, _| {
+        self.update(op, |record, _| {
             record.start(intent.attempt, &intent.sidecar, now);
             LedgerReply::Started
         })
     }
 
-    pub(super) fn end(
+    pub(super) fn record_outcome(
         &mut self,
         op: &LedgerOp,
         attempt: AttemptId,
         outcome: &Outcome,
     ) -> LedgerReply {
         let limits = self.limits;
-        self.change(op, |record, answer_bytes| match &record.state {
-            // The outcome was proposed twice, or a settlement came first: the first answer stands,
-            // so that every caller gets the same one.
+        self.update(op, |record, answer_bytes| match &record.state {
+            // The outcome was proposed twice, or the attempt was resolved before: the first outcome
+            // stands, so that every caller gets the same answer.
             BookingState::Done {
                 attempt: done,
                 outcome,
@@ -86,15 +92,15 @@
             }
             _ if !record.is_open(attempt) => LedgerReply::Refused(LedgerRefusal::NotOpen),
             _ => {
-                let left = limits.answer_bytes_per_account.saturating_sub(answer_bytes);
-                record.end(attempt, outcome.clone().within(&limits, left));
+                let available = limits.answer_bytes_per_account.saturating_sub(answer_bytes);
+                record.finish(attempt, outcome.clone().within(&limits, available));
                 LedgerReply::Recorded
             }
         })
     }
 
     pub(super) fn close(&mut self, op: &LedgerOp, close: &Close) -> LedgerReply {
-        self.change(op, |record, _| {
+        self.update(op, |record, _| {
             if record.closed.contains(&close.attempt) {
                 return LedgerReply::Closed;
             }
@@ -107,21 +113,21 @@
             if *attempt != close.attempt {
                 return LedgerReply::Refused(LedgerRefusal::NotOpen);
             }
-            let is_its_process = match &close.by {
+            let is_authorized = match &close.by {
                 Disowned::BySidecar(by) => by == sidecar,
                 Disowned::ByEntry(by) => *by == attempt.entry,
             };
-            if !is_its_process {
-                return LedgerReply::Refused(LedgerRefusal::NotItsProcess);
+            if !is_authorized {
+                return LedgerReply::Refused(LedgerRefusal::NotAuthorized);
             }
             record.close(close.attempt);
             LedgerReply::Closed
         })
     }
 
-    /// Changes the record of a key and keeps the account's usage in step. `f` also gets the bytes of
-    /// answers that the account has recorded.
-    fn change(
+    /// Updates the record of a key and the usage of its account. `f` gets the record and the bytes
+    /// of recorded answers of the account.
+    fn update(
         &mut self,
         op: &LedgerOp,
         f: impl FnOnce(&mut BookingRecord, u32) -> LedgerReply,
@@ -140,8 +146,12 @@
     }
 }
 
-/// The answer to an intent for a key that has a record; `None` when the attempt may start.
-fn known(record: &BookingRecord, intent: &Intent, max_attempts: u32) -> Option<LedgerReply> {
+/// The reply to an intent for a key that has a record; `None` if the attempt may start.
+fn reply_from_record(
+    record: &BookingRecord,
+    intent: &Intent,
+    max_attempts: u32,
+) -> Option<LedgerReply> {
     if record.body != intent.body {
         return Some(LedgerReply::BodyMismatch);
     }
@@ -152,7 +162,7 @@
             sidecar,
             since,
         } => {
-            // The same intent proposed twice is answered alike; its entry dispatches it once.
+            // A duplicate proposal gets the same reply; its entry dispatches the attempt once.
             let is_resent = *attempt == intent.attempt && *sidecar == intent.sidecar;
             Some(match is_resent {
                 true => LedgerReply::Started,
@@ -163,7 +173,7 @@
                 },
             })
         }
-        // A late copy of the closed attempt's intent: its sidecar has promised never to dispatch it.
+        // A late duplicate of a closed attempt's intent; no sidecar dispatches it any more.
         BookingState::Idle if record.closed.contains(&intent.attempt) => {
             Some(LedgerReply::Refused(LedgerRefusal::AttemptClosed))
         }
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -5,7 +5,7 @@
     Reply, SnapshotError, snapshot,
 };
 
-/// Everything the control group agrees on.
+/// The state that the control group replicates.
 ///
 /// ```
 /// use coltsfootnotch_state::{ApplyConfig, BodyDigest, Command, LogTime, Op, StateMachine};
@@ -15,7 +15,7 @@
 /// let command = Command { at: LogTime(0), op };
 /// let mut machine = StateMachine::default();
 /// let first = machine.apply(1, &command);
-/// assert_eq!(machine.apply(2, &command), first, "resent, answered alike");
+/// assert_eq!(machine.apply(2, &command), first, "a resent configuration gets the same reply");
 /// assert_eq!(machine.config().number(), 1);
 /// ```
 #[derive(Debug, Clone, Default)]
@@ -31,11 +31,11 @@
 impl StateMachine {
     /// Applies the command committed at `index`.
     ///
-    /// Indexes may have gaps, where the log holds entries of its own.
+    /// Indexes may have gaps, where the log has entries other than commands.
     ///
     /// # Panics
-    /// When `index` is not above every one applied before, and when an invariant of the state is
-    /// broken: going on would spread the damage to every member's disk.
+    /// If `index` is not above every one applied before, or if an invariant is violated: continuing
+    /// could persist a corrupt state on every member.
     pub fn apply(&mut self, index: u64, command: &Command) -> Reply {
         assert!(
             index > self.applied,
@@ -49,7 +49,7 @@
         let reply = self.dispatch(index, &command.op);
         assert!(
             self.config.number() >= before,
-            "configuration goes back from {before} to {}",
+            "configuration number decreases from {before} to {}",
             self.config.number()
         );
         reply
@@ -78,67 +78,66 @@
         }
     }
 
-    /// Records a finished order if its lease was not granted to another holder since. An expired
-    /// lease that nobody else has taken is good enough: the order was given while it was held.
+    /// Records a finished order unless its lease was granted again since. An expired lease is
+    /// accepted, since the order was sent while the lease was held.
     fn order_done(&mut self, done: &OrderDone) -> OrderReply {
         let is_latest = self
             .leases
             .get(&done.lease)
             .is_some_and(|l| l.number == done.number);
         if !is_latest {
-            return OrderReply::OldNumber;
+            return OrderReply::StaleNumber;
         }
         self.finished.record(self.now, done);
         OrderReply::Recorded
     }
 
-    /// The index of the last command applied; zero at first.
+    /// The index of the last command applied; zero initially.
     #[must_use]
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The log time reached.
+    /// The current log time.
     #[must_use]
     pub fn now(&self) -> LogTime {
         self.now
     }
 
-    /// Configurations.
+    /// The accepted configurations.
     #[must_use]
     pub fn config(&self) -> &ConfigState {
         &self.config
     }
 
-    /// The ledger of calls that may not be repeated.
+    /// The ledger of at-most-once calls.
     #[must_use]
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Leases.
+    /// The leases.
     #[must_use]
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// Orders that engines have carried out.
+    /// The finished orders of engines.
     #[must_use]
     pub fn finished(&self) -> &FinishedOrders {
         &self.finished
     }
 
-    /// The whole state as bytes: a header with version and checksum, and the encoded state.
+    /// Encodes the state, with a header that contains a version and a checksum.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         snapshot::write(self)
     }
 
-    /// Reads what [`StateMachine::snapshot`] wrote.
+    /// Decodes a snapshot written by [`StateMachine::snapshot`].
     ///
     /// # Errors
-    /// Returns a [`SnapshotError`] for bytes that are damaged, of another version, or that contradict
-    /// themselves.
+    /// Returns a [`SnapshotError`] if the bytes are corrupt, of another version or inconsistent.
     pub fn restore(bytes: &[u8]) -> Result<Self, SnapshotError> {
         snapshot::read(bytes)
     }
--- a/crates/state/src/orders.rs
+++ b/crates/state/src/orders.rs
@@ -1,12 +1,9 @@
-//! Orders to engines: what is still to be done to get from what engines report to what the manifest
-//! wants.
+//! Reconciles what engines report with what the manifest requests, by orders to engines.
 //!
-//! Load pattern answered: a change of the manifest, or a control host that restarts, wants weights
-//! on many engines at once, while the weight store gives only so many bytes a second. Without the
-//! limit every load runs at a fraction of the rate and none is ready; with [`crate::WeightStore`] few
-//! run at full rate and each engine is back sooner. Engines report late, so an order that has ended
-//! would be given again by a holder that has just started; the replicated [`FinishedOrders`] stand
-//! in for the report until it has caught up.
+//! A new manifest may require weights on many engines at once. [`WeightLoadScheduler`] lets few
+//! loads run at the full rate of the weight store, so that engines become ready one by one and not
+//! all late. Reports lag, so a new lease holder could repeat orders; the replicated
+//! [`FinishedOrders`] supplement the reports until they have caught up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,9 +11,9 @@
 use coltsfootnotch_types::{Incarnation, UpstreamName};
 use serde::{Deserialize, Serialize};
 
-use crate::{FinishedOrders, LogTime, WeightStore};
+use crate::{FinishedOrders, LogTime, WeightLoadScheduler};
 
-/// What an engine has, or should have.
+/// The model, adapters and role of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
     /// Model and version.
@@ -27,39 +24,39 @@
     pub role: Option<String>,
 }
 
-/// What the manifest wants of one upstream.
+/// The placement that the manifest requests for an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Desired {
+pub struct DesiredPlacement {
     /// The upstream.
     pub upstream: UpstreamName,
-    /// What it should have. A model or role of `None` is left as it is.
+    /// The requested placement. A model or role of `None` is left unchanged.
     pub placement: Placement,
-    /// Bytes to fetch from the weight store for the model and for each adapter.
+    /// Bytes of weights of the model and of each adapter, by name.
     pub weight_bytes: BTreeMap<String, u64>,
 }
 
-/// What an engine reports, possibly late.
+/// The placement that an engine reported, possibly outdated.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reported {
+pub struct ReportedPlacement {
     /// The upstream.
     pub upstream: UpstreamName,
     /// The run of its engine.
     pub incarnation: Incarnation,
-    /// What it had when it reported.
+    /// Its placement when it reported.
     pub placement: Placement,
 }
 
-/// One thing to do on one engine.
+/// An action on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Action {
-    /// Load a version of a model in place of the present one; adapters are lost with the old model.
+    /// Replace the model; this unloads all adapters.
     LoadModel {
         /// The model.
         model: String,
         /// Its version.
         version: String,
     },
-    /// Load a version of an adapter.
+    /// Load an adapter.
     LoadAdapter {
         /// The adapter.
         adapter: String,
@@ -79,7 +76,7 @@
 }
 
 impl Action {
-    /// Applies the action to what an engine has.
+    /// Applies the action to `placement`.
     pub fn carry_out(&self, placement: &mut Placement) {
         match self {
             Self::LoadModel { model, version } => {
@@ -96,7 +93,7 @@
         }
     }
 
-    /// The name of the weights that the action fetches.
+    /// The model or adapter whose weights the action fetches, if any.
     #[must_use]
     pub fn fetches(&self) -> Option<&str> {
         match self {
@@ -107,58 +104,59 @@
     }
 }
 
-/// An order to give now.
+/// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// The upstream.
     pub upstream: UpstreamName,
     /// The run of its engine; the sidecar drops the order if the engine has restarted since.
     pub incarnation: Incarnation,
-    /// What to do.
+    /// The action.
     pub action: Action,
 }
 
-/// What [`reconcile`] looks at.
+/// The input of [`reconcile`].
 #[derive(Debug)]
-pub struct Reconcile<'a> {
-    /// What the manifest wants.
-    pub desired: &'a [Desired],
-    /// What engines report; an upstream without a report gets no order.
-    pub reported: &'a BTreeMap<UpstreamName, Reported>,
-    /// What the log says was carried out.
+pub struct ReconcileInput<'a> {
+    /// The requested placements.
+    pub desired: &'a [DesiredPlacement],
+    /// The reported placements; an upstream without a report gets no order.
+    pub reported: &'a BTreeMap<UpstreamName, ReportedPlacement>,
+    /// The finished orders in the replicated state.
     pub finished: &'a FinishedOrders,
-    /// Upstreams with an order in flight: an engine gets one at a time, so that orders cannot
-    /// overtake each other.
+    /// Upstreams with an order in flight. They get no other, so that orders cannot be reordered.
     pub in_flight: &'a BTreeSet<UpstreamName>,
-    /// Longest time by which reports lag behind.
+    /// Maximum age of reports.
     pub report_lag: Duration,
 }
 
-/// The orders to give at log time `at` and local time `now`, at most one for each upstream.
+/// Returns the orders to send at log time `at` and local time `now`, at most one for each upstream.
 ///
-/// Orders that fetch weights are taken from `store` and left out when it has no room; they come with
-/// a later call.
+/// Orders that fetch weights are started in `scheduler`. Those that it does not admit are left to a
+/// later call.
 pub fn reconcile(
-    cx: &Reconcile<'_>,
-    store: &mut WeightStore,
+    input: &ReconcileInput<'_>,
+    scheduler: &mut WeightLoadScheduler,
     at: LogTime,
     now: Duration,
 ) -> Vec<Order> {
     let mut orders = Vec::new();
-    for desired in cx.desired {
-        if cx.in_flight.contains(&desired.upstream) {
+    for desired in input.desired {
+        if input.in_flight.contains(&desired.upstream) {
             continue;
         }
-        let Some(reported) = cx.reported.get(&desired.upstream) else {
+        let Some(reported) = input.reported.get(&desired.upstream) else {
             continue;
         };
-        let has = cx.finished.overlay(reported, at, cx.report_lag);
-        let Some(action) = next_action(&desired.placement, &has) else {
+        let current = input
+            .finished
+            .current_placement(reported, at, input.report_lag);
+        let Some(action) = next_action(&desired.placement, &current) else {
             continue;
         };
         if let Some(weights) = action.fetches() {
             let bytes = desired.weight_bytes.get(weights).copied().unwrap_or(0);
-            if !store.try_start(&desired.upstream, bytes, now) {
+            if !scheduler.try_start(&desired.upstream, bytes, now) {
                 continue;
             }
         }
@@ -171,40 +169,41 @@
     orders
 }
 
-/// The first thing to do: the model before its adapters, and room for adapters before more of them.
+/// The next action from `current` to `desired`: the model first, then the role, then unloading
+/// adapters before loading others.
 ///
 /// ```
 /// use coltsfootnotch_state::{Action, Placement, next_action};
 /// let model = Some(("spec-llm".to_owned(), "v2".to_owned()));
-/// let want = Placement { model, ..Placement::default() };
+/// let desired = Placement { model, ..Placement::default() };
 /// let load = Action::LoadModel { model: "spec-llm".into(), version: "v2".into() };
-/// assert_eq!(next_action(&want, &Placement::default()), Some(load));
-/// assert_eq!(next_action(&want, &want), None);
+/// assert_eq!(next_action(&desired, &Placement::default()), Some(load));
+/// assert_eq!(next_action(&desired, &desired), None);
 /// ```
 #[must_use]
-pub fn next_action(want: &Placement, has: &Placement) -> Option<Action> {
-    if let Some((model, version)) = &want.model
-        && want.model != has.model
+pub fn next_action(desired: &Placement, current: &Placement) -> Option<Action> {
+    if let Some((model, version)) = &desired.model
+        && desired.model != current.model
     {
         let (model, version) = (model.clone(), version.clone());
         return Some(Action::LoadModel { model, version });
     }
-    if let Some(role) = &want.role
-        && want.role != has.role
+    if let Some(role) = &desired.role
+        && desired.role != current.role
     {
         return Some(Action::SetRole { role: role.clone() });
     }
-    let extra = has
+    let extra = current
         .adapters
         .keys()
-        .find(|a| !want.adapters.contains_key(*a));
+        .find(|a| !desired.adapters.contains_key(*a));
     if let Some(adapter) = extra.cloned() {
         return Some(Action::UnloadAdapter { adapter });
     }
-    let missing = want
+    let missing = desired
         .adapters
         .iter()
-        .find(|(a, v)| has.adapters.get(*a) != Some(v));
+        .find(|(a, v)| current.adapters.get(*a) != Some(v));
     missing.map(|(adapter, version)| Action::LoadAdapter {
         adapter: adapter.clone(),
         version: version.clone(),
--- a/crates/state/src/outcome.rs
+++ b/crates/state/src/outcome.rs
@@ -1,11 +1,10 @@
-//! The answer of a call, as it is recorded to be given again.
+//! Recorded answers of calls.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{BodyDigest, LedgerLimits};
 
-/// Bytes of all recorded headers of one answer; content type, location and a request id need far
-/// less.
+/// Maximum bytes of the recorded headers of one answer.
 const MAX_HEADER_BYTES: usize = 2_048;
 
 /// The body of a recorded answer.
@@ -13,44 +12,45 @@
 pub enum RecordedBody {
     /// The whole body.
     Whole(Vec<u8>),
-    /// The body was too large to keep: a caller who asks again is told the status and this.
+    /// The digest of a body that is too large to record; a resent call gets the status and the
+    /// digest.
     Digest {
         /// SHA-256 of the body.
         digest: BodyDigest,
-        /// Bytes of the body.
+        /// Length of the body in bytes.
         len: u64,
     },
 }
 
-/// The recorded answer of a call that may not be repeated.
+/// The recorded answer of an at-most-once call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// HTTP status of the answer.
+    /// HTTP status code.
     pub status: u16,
-    /// The headers that the caller needs, in lower case.
+    /// Headers for the caller, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body or its digest.
     pub body: RecordedBody,
 }
 
 impl Outcome {
-    /// The answer with a body small enough for `limits`, or its digest.
+    /// Replaces a body of more than `max_body_bytes` by its digest, and drops headers beyond the
+    /// limit.
     ///
-    /// Call it before proposing, so that a large body costs nothing in the log; the ledger applies
-    /// it again.
+    /// Call it before proposing, to keep large bodies out of the log. The ledger applies it again.
     ///
     /// ```
     /// use coltsfootnotch_state::{LedgerLimits, Outcome, RecordedBody};
     /// let whole = Outcome { status: 201, headers: vec![], body: RecordedBody::Whole(vec![0; 9_000]) };
-    /// let kept = whole.bounded(LedgerLimits::DEFAULT.answer_bytes_per_record);
-    /// assert!(matches!(kept.body, RecordedBody::Digest { len: 9_000, .. }));
+    /// let bounded = whole.bounded(LedgerLimits::DEFAULT.answer_bytes_per_record);
+    /// assert!(matches!(bounded.body, RecordedBody::Digest { len: 9_000, .. }));
     /// ```
     #[must_use]
     pub fn bounded(mut self, max_body_bytes: u32) -> Self {
-        let mut left = MAX_HEADER_BYTES;
+        let mut available = MAX_HEADER_BYTES;
         self.headers.retain(|(name, value)| {
-            let fits = name.len() + value.len() <= left;
-            left -= if fits { name.len() + value.len() } else { 0 };
+            let fits = name.len() + value.len() <= available;
+            available -= if fits { name.len() + value.len() } else { 0 };
             fits
         });
         if let RecordedBody::Whole(body) = &self.body
@@ -64,12 +64,12 @@
         self
     }
 
-    /// The answer bounded by what the account has left, and by `limits`.
-    pub(crate) fn within(self, limits: &LedgerLimits, account_left: u32) -> Self {
-        self.bounded(limits.answer_bytes_per_record.min(account_left))
+    /// The answer bounded by `limits` and by the bytes available to the account.
+    pub(crate) fn within(self, limits: &LedgerLimits, available: u32) -> Self {
+        self.bounded(limits.answer_bytes_per_record.min(available))
     }
 
-    /// Bytes that the account is charged for this answer.
+    /// Bytes charged to the account for this answer.
     #[must_use]
     pub fn bytes(&self) -> u32 {
         let headers: usize = self.headers.iter().map(|(n, v)| n.len() + v.len()).sum();
--- a/crates/state/src/process.rs
+++ b/crates/state/src/process.rs
@@ -1,10 +1,10 @@
-//! Who acts: one run of one host's process, and one attempt of one entry.
+//! Identifiers of processes and attempts.
 
 use coltsfootnotch_types::{HostName, Incarnation};
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// One run of the process on one host.
+/// A run of the process on a host.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
 #[display("{host}/{incarnation}")]
 pub struct ProcessId {
@@ -14,11 +14,10 @@
     pub incarnation: Incarnation,
 }
 
-/// One attempt to run a call, named by the entry that makes it.
+/// An attempt to run a call, identified by the entry that created it.
 ///
-/// An entry dispatches an attempt at most once, and never uses a number again, so that a command
-/// which is proposed twice (its answer was lost) does the same thing twice in the ledger and nothing
-/// twice in the world.
+/// An entry dispatches an attempt at most once and never reuses a number, so a command that is
+/// proposed again after its reply was lost is idempotent.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -26,6 +25,6 @@
 pub struct AttemptId {
     /// The run of the entry's process.
     pub entry: Incarnation,
-    /// Counted up by that process.
+    /// Sequence number within that run.
     pub number: u64,
 }
--- a/crates/state/src/record.rs
+++ b/crates/state/src/record.rs
@@ -1,27 +1,27 @@
-//! What the ledger knows about one key.
+//! Ledger records.
 
 use crate::{AttemptId, BodyDigest, LogTime, Outcome, ProcessId};
 
-/// Where a call stands.
+/// The state of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BookingState {
-    /// One attempt may have been dispatched.
+    /// An attempt may have been dispatched.
     Open {
         /// The attempt.
         attempt: AttemptId,
         /// The one process that may dispatch it.
         sidecar: ProcessId,
-        /// When its intent was written.
+        /// Log time of its intent.
         since: LogTime,
     },
-    /// The call has run; this is its answer.
+    /// The call has run.
     Done {
         /// The attempt that ran.
         attempt: AttemptId,
         /// The recorded answer.
         outcome: Outcome,
     },
-    /// No attempt was dispatched so far.
+    /// No attempt was dispatched.
     Idle,
 }
 
@@ -30,13 +30,13 @@
 pub struct BookingRecord {
     /// Digest of the request.
     pub body: BodyDigest,
-    /// When the record expires.
-    pub due: LogTime,
-    /// When a dated key was made; `None` for a plain key, which needs a tombstone later.
+    /// Log time at which the record expires.
+    pub expires_at: LogTime,
+    /// Issue time of a dated key; `None` for a plain key, which leaves a tombstone.
     pub issued: Option<LogTime>,
-    /// Attempts that were disowned; none of them may start or end again.
+    /// Closed attempts, which can neither start nor end.
     pub closed: Vec<AttemptId>,
-    /// Where the call stands.
+    /// The state of the call.
     pub state: BookingState,
 }
 
@@ -44,8 +44,7 @@
     /// Starts `attempt`.
     ///
     /// # Panics
-    /// When an attempt is open or was dispatched, or when `attempt` was closed: the call could then
-    /// run twice.
+    /// If another attempt is open or done, or if `attempt` was closed: the call could run twice.
     pub(crate) fn start(&mut self, attempt: AttemptId, sidecar: &ProcessId, now: LogTime) {
         assert!(
             self.state == BookingState::Idle,
@@ -70,12 +69,12 @@
     }
 
     /// Records the answer of the open attempt.
-    pub(crate) fn end(&mut self, attempt: AttemptId, outcome: Outcome) {
+    pub(crate) fn finish(&mut self, attempt: AttemptId, outcome: Outcome) {
         assert!(self.is_open(attempt), "attempt {attempt} is not open");
         self.state = BookingState::Done { attempt, outcome };
     }
 
-    /// The attempt that may have been dispatched and has not ended.
+    /// The open attempt.
     #[must_use]
     pub fn open_attempt(&self) -> Option<AttemptId> {
         match &self.state {
@@ -84,7 +83,7 @@
         }
     }
 
-    /// Whether `attempt` is the open one.
+    /// Whether `attempt` is the open attempt.
     #[must_use]
     pub fn is_open(&self, attempt: AttemptId) -> bool {
         self.open_attempt() == Some(attempt)
--- a/crates/state/src/reply.rs
+++ b/crates/state/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies: what the state machine says to each command, the same on every member.
+//! Replies of the state machine to commands, identical on every member.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 
 use crate::{AttemptId, BodyDigest, FencingNumber, LogTime, Outcome, ProcessId};
 
-/// The answer to one command.
+/// The reply to a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// To an `ApplyConfig`.
     Config(ConfigReply),
-    /// To a write of the ledger.
+    /// To a ledger write.
     Ledger(LedgerReply),
-    /// To a batch: one answer for each write, in order.
+    /// To a batch: one reply for each write, in order.
     Batch(Vec<LedgerReply>),
     /// To `Expire`.
     Expired {
-        /// Records that have expired with this command.
+        /// Number of records expired by this command.
         records: u32,
     },
     /// To `SetLimits`.
@@ -28,124 +28,125 @@
     Order(OrderReply),
 }
 
-/// The answer to an operator who applies a configuration.
+/// The reply to an `ApplyConfig`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigReply {
-    /// Accepted, now or when it was first sent.
+    /// Accepted by this command or an earlier one.
     Accepted {
         /// Its number.
         number: u64,
         /// Its digest.
         digest: BodyDigest,
     },
-    /// The number was accepted before with other content.
+    /// The number was accepted with other content.
     Conflict {
         /// The number.
         number: u64,
-        /// Digest of what was accepted under it.
+        /// Digest accepted under it.
         accepted: BodyDigest,
     },
-    /// The number is lower than the one in force and was not accepted before.
+    /// The number is lower than the one in force and is not in the history.
     Stale {
         /// The number in force.
         accepted: u64,
     },
-    /// The digest is not that of the body.
+    /// The digest does not match the body.
     DigestMismatch {
-        /// Digest of the body that came.
+        /// Digest of the received body.
         found: BodyDigest,
     },
     /// The body is too large.
     TooLarge {
-        /// The largest accepted, in bytes.
+        /// Maximum size in bytes.
         max_bytes: u64,
     },
 }
 
-/// The answer to one write of the ledger.
+/// The reply to a ledger write.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerReply {
     /// To an intent: the attempt may be dispatched.
     Started,
-    /// The call has ended; this is its recorded answer.
+    /// The call is done and this is its recorded answer.
     AlreadyDone(Outcome),
     /// To an intent: another attempt is open and may have run.
     InDoubt {
         /// The open attempt.
         attempt: AttemptId,
-        /// The process that can say whether it dispatched it.
+        /// The process that knows whether it was dispatched.
         sidecar: ProcessId,
-        /// When its intent was written.
+        /// Log time of its intent.
         since: LogTime,
     },
     /// The key was used with another body.
     BodyMismatch,
-    /// The key is older than the retention. It is not run.
+    /// The key is older than the retention. The call does not run.
     TooOld,
-    /// The write is refused and nothing has changed. An intent so answered is not run.
+    /// The write is refused without effect. The call of a refused intent does not run.
     Refused(LedgerRefusal),
-    /// To an outcome: it is recorded.
+    /// To an outcome: the answer is recorded.
     Recorded,
     /// To a close: the attempt is closed, and another may start.
     Closed,
-    /// To a settlement: the answer is recorded.
+    /// To a resolution: the answer is recorded.
     Settled,
 }
 
-/// Why a write of the ledger is refused.
+/// The reason why a ledger write is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerRefusal {
-    /// The account has as many records as it may.
+    /// The account has reached its limit of records.
     AccountFull,
-    /// The account has used plain keys up; dated ones are still accepted.
-    PlainKeysUsedUp,
-    /// A dated key bears a time that the log has not reached.
+    /// The account has reached its limit of plain keys; dated keys are still accepted.
+    PlainKeysExhausted,
+    /// The issue time of a dated key is later than log time.
     NotYetIssued,
-    /// Every permitted attempt of the key was closed.
+    /// The key has reached its limit of attempts, and all were closed.
     TooManyAttempts,
-    /// The attempt was closed before and can't be started or ended.
+    /// The attempt was closed and can neither start nor end.
     AttemptClosed,
-    /// The attempt is not the open one.
+    /// The attempt is not open.
     NotOpen,
-    /// There is no record of the key.
+    /// The key has no record.
     NoRecord,
-    /// The process that disowns the attempt is not one whose word is enough.
-    NotItsProcess,
+    /// The process that closes the attempt is neither its sidecar nor its entry.
+    NotAuthorized,
 }
 
-/// The answer about a lease.
+/// The reply to a lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseReply {
-    /// The lease is held by whoever asked.
+    /// The requesting process holds the lease.
     Granted {
-        /// Unique to this holder and higher than that of every earlier one.
+        /// Unique to this grant and higher than that of every earlier one.
         number: FencingNumber,
-        /// For how long from the sending of the request, by the holder's clock and before drift.
+        /// Duration of the lease, counted from the sending of the request on the holder's clock and
+        /// not yet shortened by the drift bound.
         ttl: Duration,
-        /// The lease of the holder before, when that one expired without having been released:
-        /// its last orders may still be under way.
-        after_expired: Option<FencingNumber>,
+        /// The fencing number of the previous grant if it expired without a release: its last
+        /// orders may still be in flight.
+        expired_predecessor: Option<FencingNumber>,
     },
     /// Another process holds the lease.
     Held {
         /// The holder.
         holder: ProcessId,
-        /// When it expires, in log time.
-        until: LogTime,
+        /// Log time at which it expires.
+        expires_at: LogTime,
     },
-    /// The lease was released, or had been.
+    /// The lease is released.
     Released,
-    /// The lease is no longer held under that number: stop at once.
+    /// The lease is not held under that number.
     Lost,
-    /// The time asked for is out of bounds.
+    /// The requested duration is out of range.
     BadTtl,
 }
 
-/// The answer to a finished order.
+/// The reply to an `OrderDone`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderReply {
-    /// Recorded; it will not be given again.
+    /// The order is recorded and is not sent again.
     Recorded,
-    /// The order was given under an old fencing number.
-    OldNumber,
+    /// The order was sent under an old fencing number.
+    StaleNumber,
 }
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,8 +1,7 @@
-//! Snapshots of the state on disk and on the wire.
+//! Encoding of state snapshots, on disk and on the wire.
 //!
-//! A snapshot is a magic number, a version, the CRC-32 of the payload, and the payload. The types of
-//! the payload are separate from those in memory: a change of the one does not silently change the
-//! other.
+//! A snapshot consists of a magic number, a version, the CRC-32 of the payload, and the payload.
+//! The payload has its own types, so that a change of the in-memory types cannot change the format.
 
 use coltsfootnotch_types::{AccountName, Incarnation, LeaseName, UpstreamName};
 use serde::{Deserialize, Serialize};
@@ -53,9 +52,9 @@
     name: LeaseName,
     holder: ProcessId,
     number: FencingNumber,
-    until: LogTime,
+    expires_at: LogTime,
     released: bool,
-    after_expired: Option<FencingNumber>,
+    expired_predecessor: Option<FencingNumber>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -65,7 +64,7 @@
     orders: Vec<(LogTime, Action)>,
 }
 
-/// The bytes of a snapshot of `machine`.
+/// Encodes a snapshot of `machine`.
 pub(crate) fn write(machine: &StateMachine) -> Vec<u8> {
     let state = StateV1::from(machine);
     let payload = postcard::to_stdvec(&state).expect("a state can be encoded");
@@ -77,7 +76,7 @@
     bytes
 }
 
-/// The state in `bytes`.
+/// Decodes the snapshot in `bytes`.
 pub(crate) fn read(bytes: &[u8]) -> Result<StateMachine, SnapshotError> {
     let rest = bytes.strip_prefix(&MAGIC).ok_or(SnapshotError::Header)?;
     let (version, rest) = rest.split_first_chunk().ok_or(SnapshotError::Header)?;
--- a/crates/state/src/snapshot/convert.rs
+++ b/crates/state/src/snapshot/convert.rs
@@ -1,9 +1,9 @@
-//! Between the state in memory and its snapshot.
+//! Conversions between the in-memory state and its snapshot.
 
 use super::{AccountV1, ConfigV1, FinishedV1, LeaseV1, StateV1};
 use crate::{
-    Accepted, BodyDigest, BookingRecord, ConfigState, Finished, FinishedOrders, Lease, Leases,
-    Ledger, LedgerLimits, LogTime, SnapshotError, StateMachine,
+    AcceptedConfig, BodyDigest, BookingRecord, ConfigState, FinishedOrder, FinishedOrders, Lease,
+    Leases, Ledger, LedgerLimits, LogTime, SnapshotError, StateMachine,
 };
 
 impl From<&StateMachine> for StateV1 {
@@ -30,9 +30,9 @@
                     name: name.clone(),
                     holder: lease.holder.clone(),
                     number: lease.number,
-                    until: lease.until,
+                    expires_at: lease.expires_at,
                     released: lease.released,
-                    after_expired: lease.after_expired,
+                    expired_predecessor: lease.expired_predecessor,
                 })
                 .collect(),
             finished: machine
@@ -48,8 +48,8 @@
     }
 }
 
-impl From<&Accepted> for ConfigV1 {
-    fn from(config: &Accepted) -> Self {
+impl From<&AcceptedConfig> for ConfigV1 {
+    fn from(config: &AcceptedConfig) -> Self {
         Self {
             number: config.number,
             digest: config.digest,
@@ -77,14 +77,14 @@
     disk: Option<ConfigV1>,
     history: Vec<(u64, BodyDigest)>,
 ) -> Result<ConfigState, SnapshotError> {
-    let in_force = disk.map(|c| Accepted {
+    let in_force = disk.map(|c| AcceptedConfig {
         number: c.number,
         digest: c.digest,
         body: c.body,
     });
     let newest = history.last().copied();
     if in_force.as_ref().map(|c| (c.number, c.digest)) != newest {
-        let what = "the configuration in force is not the newest accepted";
+        let what = "the configuration in force is not the newest in the history";
         return Err(SnapshotError::Inconsistent { what });
     }
     let history = history.into_iter().collect();
@@ -101,7 +101,7 @@
         for (key, disk) in a.records {
             let record = BookingRecord::try_from(disk)?;
             if !ledger.restore_record(&a.account, key, record) {
-                let what = "a key has two records";
+                let what = "duplicate ledger key";
                 return Err(SnapshotError::Inconsistent { what });
             }
         }
@@ -114,15 +114,15 @@
     let mut leases = Leases::default();
     for l in disk {
         if l.number.0 > applied {
-            let what = "a fencing number is above the last index applied";
+            let what = "fencing number above the applied index";
             return Err(SnapshotError::Inconsistent { what });
         }
         let lease = Lease {
             holder: l.holder,
             number: l.number,
-            until: l.until,
+            expires_at: l.expires_at,
             released: l.released,
-            after_expired: l.after_expired,
+            expired_predecessor: l.expired_predecessor,
         };
         leases.by_name.insert(l.name, lease);
     }
@@ -132,7 +132,7 @@
 fn finished(disk: Vec<FinishedV1>) -> FinishedOrders {
     let by_upstream = disk.into_iter().map(|f| {
         let orders = f.orders.into_iter();
-        let done = orders.map(|(at, action)| Finished { at, action });
+        let done = orders.map(|(at, action)| FinishedOrder { at, action });
         (f.upstream, (f.incarnation, done.collect()))
     });
     FinishedOrders {
--- a/crates/state/src/snapshot/record.rs
+++ b/crates/state/src/snapshot/record.rs
@@ -1,4 +1,4 @@
-//! Records of the ledger in a snapshot.
+//! Ledger records in a snapshot.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 #[derive(Serialize, Deserialize)]
 pub(super) struct RecordV1 {
     body: BodyDigest,
-    due: LogTime,
+    expires_at: LogTime,
     issued: Option<LogTime>,
     closed: Vec<AttemptId>,
     state: RecordStateV1,
@@ -37,7 +37,7 @@
         };
         Self {
             body: record.body,
-            due: record.due,
+            expires_at: record.expires_at,
             issued: record.issued,
             closed: record.closed.clone(),
             state,
@@ -69,7 +69,7 @@
         }
         Ok(Self {
             body: disk.body,
-            due: disk.due,
+            expires_at: disk.expires_at,
             issued: disk.issued,
             closed: disk.closed,
             state,
--- a/crates/state/src/usage.rs
+++ b/crates/state/src/usage.rs
@@ -1,24 +1,24 @@
-//! What one account costs the ledger.
+//! Usage of the ledger by account.
 
 use crate::{BookingRecord, LedgerLimits};
 
-/// Records, bytes and used-up keys of one account. Derived from the records, so a restored snapshot
-/// counts them anew.
+/// Usage of the ledger by one account. It is recomputed from the records when a snapshot is
+/// restored.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Usage {
+pub struct AccountUsage {
     /// Records that have not expired.
     pub records: u32,
-    /// Those of them whose keys are plain and will need a tombstone.
+    /// Records with plain keys, each of which will leave a tombstone.
     pub plain_records: u32,
     /// Records with an open attempt.
     pub open: u32,
     /// Bytes of recorded answers.
     pub answer_bytes: u32,
-    /// Plain keys that are refused after their records have expired.
+    /// Tombstones of expired plain keys.
     pub tombstones: u32,
 }
 
-impl Usage {
+impl AccountUsage {
     pub(crate) fn add(&mut self, record: &BookingRecord) {
         self.records += 1;
         self.plain_records += u32::from(record.issued.is_none());
@@ -33,8 +33,8 @@
         self.answer_bytes -= record.answer_bytes();
     }
 
-    /// Whether one more key can be remembered, and forgotten later without being run again.
-    pub(crate) fn has_tombstone_room(&self, limits: &LedgerLimits) -> bool {
+    /// Whether a tombstone can be kept for another plain key.
+    pub(crate) fn has_tombstone_capacity(&self, limits: &LedgerLimits) -> bool {
         self.tombstones + self.plain_records < limits.tombstones_per_account
     }
 }
--- a/crates/state/tests/testsuite/bookings.rs
+++ b/crates/state/tests/testsuite/bookings.rs
@@ -1,16 +1,16 @@
-//! Calls that may not be repeated, when answers, processes and time are lost.
+//! At-most-once calls under lost answers, lost processes and expiry.
 
 use crate::support::{Call, Log, account, answer, attempt, process};
 use coltsfootnotch_state::prelude::*;
 use coltsfootnotch_state::{Disowned, LedgerLimits, LedgerRefusal, LedgerReply, RecordedBody};
 use googletest::prelude::*;
 
-const REFUSED_FULL: LedgerReply = LedgerReply::Refused(LedgerRefusal::AccountFull);
+const ACCOUNT_FULL: LedgerReply = LedgerReply::Refused(LedgerRefusal::AccountFull);
 
 #[gtest]
-fn a_caller_that_lost_its_answer_gets_the_recorded_one_through_any_entry() {
-    // The caller's connection breaks after the order was printed. It asks again through another
-    // entry, after the control hosts were restarted: it gets the answer, and nothing is dispatched.
+fn a_resent_call_gets_the_recorded_answer_through_any_entry() {
+    // Guards against a second run when the caller lost the answer and resends the call through
+    // another entry after a restart of the control hosts.
     let (mut log, call) = (Log::default(), Call::new("order-1"));
     let sidecar = process("sidecar-1", 10);
     expect_that!(
@@ -27,10 +27,10 @@
 }
 
 #[gtest]
-fn a_second_call_meets_an_open_attempt_until_its_sidecar_disowns_it() {
-    // An entry is lost between intent and start. The caller asks again elsewhere: the attempt is in
-    // doubt. The sidecar named in the intent says that it never dispatched it; a later run of that
-    // sidecar cannot say so. Then a new attempt starts, and a late copy of the first one does not.
+fn a_second_call_is_in_doubt_until_the_sidecar_closes_the_open_attempt() {
+    // An entry is lost between intent and start. Only the run of the sidecar that the intent names
+    // can close the attempt. Then another attempt starts, and a late duplicate of the first does
+    // not.
     let (mut log, call) = (Log::default(), Call::new("order-1"));
     let (sidecar, restarted) = (process("sidecar-1", 10), process("sidecar-1", 11));
     let first = call.intent(attempt(1, 1), &sidecar);
@@ -44,13 +44,13 @@
         log.ledger(call.intent(attempt(2, 1), &sidecar)),
         eq(&in_doubt)
     );
-    let by_other = call.close(attempt(1, 1), Disowned::BySidecar(restarted.clone()));
+    let by_restarted = call.close(attempt(1, 1), Disowned::BySidecar(restarted.clone()));
     expect_that!(
-        log.ledger(by_other),
-        eq(&LedgerReply::Refused(LedgerRefusal::NotItsProcess))
+        log.ledger(by_restarted),
+        eq(&LedgerReply::Refused(LedgerRefusal::NotAuthorized))
     );
-    let by_it = call.close(attempt(1, 1), Disowned::BySidecar(sidecar));
-    expect_that!(log.ledger(by_it), eq(&LedgerReply::Closed));
+    let by_sidecar = call.close(attempt(1, 1), Disowned::BySidecar(sidecar));
+    expect_that!(log.ledger(by_sidecar), eq(&LedgerReply::Closed));
     expect_that!(
         log.ledger(call.intent(attempt(2, 2), &restarted)),
         eq(&LedgerReply::Started)
@@ -66,13 +66,13 @@
 }
 
 #[gtest]
-fn a_rereading_call_that_finds_the_booking_settles_the_doubt_for_good() {
-    // Entry and sidecar are both lost after the order was made. The rereading call finds it by its
-    // key. The true outcome that comes late changes nothing: all callers get the same answer.
+fn a_reread_call_that_finds_the_booking_resolves_the_attempt() {
+    // Entry and sidecar are lost after the booking was made. A late outcome does not replace the
+    // answer that the reread call found: all callers get the same one.
     let (mut log, call) = (Log::default(), Call::new("order-1"));
     log.ledger(call.intent(attempt(1, 1), &process("sidecar-1", 10)));
-    let settled = call.settle(attempt(1, 1), answer("found no. 17"));
-    expect_that!(log.ledger(settled), eq(&LedgerReply::Settled));
+    let resolved = call.resolve(attempt(1, 1), answer("found no. 17"));
+    expect_that!(log.ledger(resolved), eq(&LedgerReply::Settled));
     expect_that!(
         log.ledger(call.outcome(attempt(1, 1), answer("no. 17"))),
         eq(&LedgerReply::AlreadyDone(answer("found no. 17")))
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn a_key_with_another_body_is_refused_and_the_same_key_of_another_account_is_not() {
+fn a_key_with_another_body_is_refused_but_not_for_another_account() {
     let (mut log, call) = (Log::default(), Call::new("order-1"));
     let sidecar = process("sidecar-1", 10);
     log.ledger(call.intent(attempt(1, 1), &sidecar));
@@ -98,23 +98,23 @@
 }
 
 #[gtest]
-fn a_key_older_than_the_retention_is_refused_for_good() {
-    // A caller resends an order days later, when its record has expired. A plain key is known by its
-    // tombstone and a dated one by its own time, so neither runs again, also after a restart.
+fn a_key_older_than_the_retention_is_refused_permanently() {
+    // Guards against a second run of a call that is resent after its record has expired, also after
+    // a restart: a plain key is refused by its tombstone and a dated key by its issue time.
     let mut log = Log::default();
     let sidecar = process("sidecar-1", 10);
     let calls = [Call::new("order-1"), Call::new("ledger-0.order-1")];
     for call in &calls {
         log.ledger(call.intent(attempt(1, 1), &sidecar));
     }
-    log.pass(71);
+    log.advance(71);
     expect_that!(
         log.ledger(calls[1].intent(attempt(1, 2), &sidecar)),
         matches_pattern!(LedgerReply::InDoubt { .. })
     );
-    log.pass(2);
+    log.advance(2);
     for days in [0, 30, 300] {
-        log.pass(days * 24);
+        log.advance(days * 24);
         log.restart();
         for call in &calls {
             let late = call.intent(attempt(2, days), &sidecar);
@@ -125,12 +125,12 @@
 }
 
 #[gtest]
-fn raising_the_retention_does_not_let_a_forgotten_dated_key_run_again() {
-    // A dated order is recorded for 72 hours. Meanwhile the retention is raised to 96. The record
-    // still expires after 72: its key is then younger than 96 hours, and must be refused all the same.
+fn raising_the_retention_does_not_let_an_expired_dated_key_run_again() {
+    // The record expires after 72 hours although the retention was raised to 96. Its key is then
+    // younger than the retention and must still be refused.
     let (mut log, call) = (Log::default(), Call::new("ledger-3600.order-1"));
     let sidecar = process("sidecar-1", 10);
-    log.pass(1);
+    log.advance(1);
     log.ledger(call.intent(attempt(1, 1), &sidecar));
     let retention_secs = 96 * 3_600;
     let longer = LedgerLimits {
@@ -138,7 +138,7 @@
         ..LedgerLimits::DEFAULT
     };
     log.apply(Op::SetLimits(longer));
-    log.pass(73);
+    log.advance(73);
     expect_that!(
         log.ledger(call.intent(attempt(2, 1), &sidecar)),
         eq(&LedgerReply::TooOld)
@@ -146,9 +146,9 @@
 }
 
 #[gtest]
-fn an_account_that_floods_the_ledger_is_refused_unrun_and_others_are_not() {
-    // One account sends new keys without end. It is refused when its records, or later its plain
-    // keys, are used up; dated keys and other accounts go on.
+fn an_account_that_floods_the_ledger_is_refused_and_others_are_not() {
+    // An account is refused when it reaches its limit of records, or later of plain keys. Dated
+    // keys and other accounts are still accepted.
     let mut log = Log::default();
     let sidecar = process("sidecar-1", 10);
     log.apply(Op::SetLimits(LedgerLimits {
@@ -159,11 +159,11 @@
     let send =
         |log: &mut Log, text: String| log.ledger(Call::new(&text).intent(attempt(1, 1), &sidecar));
     let replies: Vec<_> = (0..4).map(|n| send(&mut log, format!("a-{n}"))).collect();
-    expect_that!(replies[2..], [eq(&LedgerReply::Started), eq(&REFUSED_FULL)]);
-    log.pass(73);
+    expect_that!(replies[2..], [eq(&LedgerReply::Started), eq(&ACCOUNT_FULL)]);
+    log.advance(73);
     let replies: Vec<_> = (0..3).map(|n| send(&mut log, format!("b-{n}"))).collect();
-    let used_up = LedgerReply::Refused(LedgerRefusal::PlainKeysUsedUp);
-    expect_that!(replies[1..], [eq(&LedgerReply::Started), eq(&used_up)]);
+    let exhausted = LedgerReply::Refused(LedgerRefusal::PlainKeysExhausted);
+    expect_that!(replies[1..], [eq(&LedgerReply::Started), eq(&exhausted)]);
     let issued = log.at.0 / 1_000;
     let dated = send(&mut log, format!("ledger-{issued}.c"));
     expect_that!(dated, eq(&LedgerReply::Started));
@@ -181,17 +181,20 @@
 }
 
 #[gtest]
-fn an_answer_too_large_to_keep_is_recorded_by_its_digest() {
+fn an_answer_over_the_size_limit_is_recorded_by_its_digest() {
     let (mut log, call) = (Log::default(), Call::new("order-1"));
     log.ledger(call.intent(attempt(1, 1), &process("sidecar-1", 10)));
     let body = "x".repeat(9_000);
     log.ledger(call.outcome(attempt(1, 1), answer(&body)));
-    let kept = log.ledger(call.intent(attempt(1, 2), &process("sidecar-1", 10)));
-    let LedgerReply::AlreadyDone(kept) = kept else {
-        panic!("the call has ended, and is answered by {kept:?}");
+    let reply = log.ledger(call.intent(attempt(1, 2), &process("sidecar-1", 10)));
+    let LedgerReply::AlreadyDone(recorded) = reply else {
+        panic!("unexpected reply to a finished call: {reply:?}");
     };
     let digest = BodyDigest::of(body.as_bytes());
-    expect_that!(kept.body, eq(&RecordedBody::Digest { digest, len: 9_000 }));
+    expect_that!(
+        recorded.body,
+        eq(&RecordedBody::Digest { digest, len: 9_000 })
+    );
     expect_that!(
         log.machine.ledger().usage(&call.account).answer_bytes,
         lt(100)
--- a/crates/state/tests/testsuite/configuration.rs
+++ b/crates/state/tests/testsuite/configuration.rs
@@ -1,4 +1,4 @@
-//! Operators who race each other and resend.
+//! Configurations from concurrent operators, resent commands, and damaged snapshots.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 fn apply(log: &mut Log, req: &ApplyConfig) -> ConfigReply {
     match log.apply(Op::ApplyConfig(req.clone())) {
         Reply::Config(reply) => reply,
-        other => panic!("a configuration is answered by {other:?}"),
+        other => panic!("unexpected reply to a configuration: {other:?}"),
     }
 }
 
@@ -32,10 +32,9 @@
 }
 
 #[gtest]
-fn of_two_operators_with_one_number_exactly_one_wins_and_both_learn_which() {
-    // Two operators send different manifests under number 7 and both lose their answers. Each sends
-    // again, also after number 8 was accepted and after a restart. The first keeps being told that
-    // it was accepted; the second is told the digest of the first.
+fn of_two_configurations_with_one_number_only_the_first_is_accepted() {
+    // Two operators lose their answers and resend, also after later configurations and restarts.
+    // Each must get the same reply as the first time.
     let mut log = Log::default();
     let (first, second) = (config(7, "{\"a\":1}"), config(7, "{\"b\":2}"));
     let conflict = ConfigReply::Conflict {
@@ -52,7 +51,7 @@
 }
 
 #[gtest]
-fn a_number_below_the_one_in_force_is_refused_and_a_wrong_digest_too() {
+fn a_number_below_the_one_in_force_and_a_wrong_digest_are_refused() {
     let mut log = Log::default();
     apply(&mut log, &config(9, "{}"));
     expect_that!(
@@ -70,22 +69,22 @@
 }
 
 #[gtest]
-fn a_damaged_snapshot_is_refused_wherever_the_damage_is() {
+fn a_snapshot_with_any_damaged_or_missing_byte_is_refused() {
     let mut log = Log::default();
     apply(&mut log, &config(1, "{\"accounts\":[]}"));
     let bytes = log.machine.snapshot();
-    for place in 0..bytes.len() {
+    for offset in 0..bytes.len() {
         let mut damaged = bytes.clone();
-        damaged[place] ^= 0x20;
+        damaged[offset] ^= 0x20;
         expect_that!(
             StateMachine::restore(&damaged),
             err(anything()),
-            "at byte {place}"
+            "damaged at byte {offset}"
         );
         expect_that!(
-            StateMachine::restore(&bytes[..place]),
+            StateMachine::restore(&bytes[..offset]),
             err(anything()),
-            "cut at {place}"
+            "truncated to {offset} bytes"
         );
     }
 }
@@ -93,11 +92,10 @@
 proptest! {
     #![proptest_config(randomised(256, 0xc0f1))]
 
-    /// Operators send numbers and bodies in any order, again and again, over restarts: every pair of
-    /// number and body always gets the answer it got at first, except that what was refused as stale
-    /// may not turn into accepted, and the number in force never goes back.
+    /// Across resends and restarts, each pair of number and body keeps its reply, a stale one is
+    /// never accepted later, and the number in force never decreases.
     #[test]
-    fn randomised_applies_are_idempotent_and_never_go_back(
+    fn randomised_configurations_are_idempotent_and_numbers_never_decrease(
         sent in prop::collection::vec((1u64..12, 0u8..3, prop::bool::weighted(0.1)), 1..60)
     ) {
         let mut log = Log::default();
--- a/crates/state/tests/testsuite/format.rs
+++ b/crates/state/tests/testsuite/format.rs
@@ -1,4 +1,4 @@
-//! The bytes of commands and snapshots, which later programs must still read.
+//! Encoding of commands and snapshots, which later versions must still decode.
 
 use std::time::Duration;
 
--- a/crates/state/tests/testsuite/lease_runs.rs
+++ b/crates/state/tests/testsuite/lease_runs.rs
@@ -1,4 +1,4 @@
-//! Leases under drifting clocks, changing leaders and lost messages.
+//! Leases under clock drift, leader changes and lost messages.
 
 use std::time::Duration;
 
@@ -7,21 +7,22 @@
 use googletest::prelude::*;
 use proptest::prelude::{Just, Strategy, any, prop, prop_oneof, proptest};
 
-use crate::lease_world::{HOLDERS, Step, World, grant};
+use crate::lease_simulation::{HOLDERS, Simulation, Step, grant};
 use crate::support::{Log, randomised};
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        8 => (1u64..500).prop_map(|millis| Step::Pass { millis }),
+        8 => (1u64..500).prop_map(|millis| Step::Advance { millis }),
         8 => (0..HOLDERS, 1_000u64..3_000).prop_map(|(holder, ttl)| Step::Acquire { holder, ttl }),
-        4 => (0..HOLDERS, 1_000u64..6_000).prop_map(|(holder, ttl)| Step::Ask { holder, ttl }),
+        4 => (0..HOLDERS, 1_000u64..6_000).prop_map(|(holder, ttl)| Step::Request { holder, ttl }),
         4 => (any::<usize>(), prop::bool::weighted(0.2))
-            .prop_map(|(at, again)| Step::Arrive { at, again }),
-        4 => prop::bool::weighted(0.1).prop_map(|lose| Step::Commit { lose }),
+            .prop_map(|(at, duplicate)| Step::Propose { at, duplicate }),
+        4 => prop::bool::weighted(0.1).prop_map(|lose_reply| Step::Commit { lose_reply }),
         4 => (any::<usize>(), prop::bool::weighted(0.2))
-            .prop_map(|(at, again)| Step::Reply { at, again }),
-        1 => (0usize..3, any::<bool>()).prop_map(|(leader, keep)| Step::Elect { leader, keep }),
-        4 => (0..HOLDERS).prop_map(|holder| Step::Order { holder }),
+            .prop_map(|(at, duplicate)| Step::DeliverReply { at, duplicate }),
+        1 => (0usize..3, any::<bool>())
+            .prop_map(|(leader, keep_proposals)| Step::Elect { leader, keep_proposals }),
+        4 => (0..HOLDERS).prop_map(|holder| Step::SendOrder { holder }),
         1 => (0..HOLDERS).prop_map(|holder| Step::Release { holder }),
     ];
     prop::collection::vec(step, 1..160)
@@ -39,19 +40,19 @@
         ],
         steps in steps(),
     ) {
-        let mut world = World::new(rates);
+        let mut simulation = Simulation::new(rates);
         for step in steps {
-            world.step(step);
-            world.check();
+            simulation.step(step);
+            simulation.check();
         }
     }
 }
 
 #[gtest]
-fn a_new_holder_waits_for_the_orders_of_one_that_was_lost() {
-    // A holder is cut off and never gives its lease back. Another asks until the lease has expired.
-    // It may order an engine that refuses old numbers at once, and one that ignores them only when
-    // an order that was sent at the last moment has surely ended. The reply that said so was lost.
+fn a_new_holder_waits_for_the_orders_of_a_lost_one() {
+    // A partitioned holder never releases its lease, and the first reply to its successor is lost.
+    // The successor may send orders at once to an engine that checks numbers. With another engine
+    // it waits until orders sent just before the expiry have ended.
     let sec = Duration::from_secs;
     let mut log = Log::default();
     log.apply(grant(0, sec(10)));
@@ -64,7 +65,7 @@
     log.at = LogTime(10_001);
     log.apply(grant(1, sec(10)));
     let Reply::Lease(reply) = log.apply(grant(1, sec(10))) else {
-        panic!("a lease is answered by a lease");
+        panic!("unexpected reply to a lease request");
     };
     let mut holder = LeaseHolder::new(DriftBound::DEFAULT);
     holder.on_reply(sec(50), sec(51), &reply);
@@ -78,6 +79,6 @@
     expect_that!(
         holder.may_order(sec(58), wait),
         eq(false),
-        "it would end too late"
+        "the order would end after the lease"
     );
 }
--- a/crates/state/tests/testsuite/lease_world.rs
+++ b/crates/state/tests/testsuite/lease_simulation.rs
@@ -1,5 +1,4 @@
-//! The world of the randomised lease runs: holders and leaders with clocks of their own, and messages on
-//! their way.
+//! Simulation of lease holders and leaders with drifting clocks and messages in flight.
 
 use std::time::Duration;
 
@@ -11,7 +10,7 @@
 
 use crate::support::{Log, process};
 
-/// Bound on drift, in parts per million. Far above the default, so that a mistake shows.
+/// Drift bound in parts per million, far above the default so that violations show.
 const DRIFT: u32 = 50_000;
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
 pub(crate) const HOLDERS: usize = 3;
@@ -30,42 +29,27 @@
 
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Step {
-    Pass {
-        millis: u64,
-    },
-    /// Nothing is lost between asking and the reply.
-    Acquire {
-        holder: usize,
-        ttl: u64,
-    },
-    Ask {
-        holder: usize,
-        ttl: u64,
-    },
-    Arrive {
-        at: usize,
-        again: bool,
-    },
-    Commit {
-        lose: bool,
-    },
-    Reply {
-        at: usize,
-        again: bool,
-    },
-    Elect {
-        leader: usize,
-        keep: bool,
-    },
-    Order {
-        holder: usize,
-    },
-    Release {
-        holder: usize,
-    },
+    /// Real time passes.
+    Advance { millis: u64 },
+    /// A holder requests the lease and receives the reply at once.
+    Acquire { holder: usize, ttl: u64 },
+    /// A holder sends a request for the lease.
+    Request { holder: usize, ttl: u64 },
+    /// A request reaches the leader, which stamps and proposes it.
+    Propose { at: usize, duplicate: bool },
+    /// The oldest proposal is committed.
+    Commit { lose_reply: bool },
+    /// A reply reaches its holder.
+    DeliverReply { at: usize, duplicate: bool },
+    /// Another process becomes the leader.
+    Elect { leader: usize, keep_proposals: bool },
+    /// A holder sends an order to the engine.
+    SendOrder { holder: usize },
+    /// A holder without orders in flight releases the lease.
+    Release { holder: usize },
 }
 
-/// A request, with its sending time on the holder's own clock.
+/// A request with its sending time on the holder's clock.
 #[derive(Clone)]
 struct Request {
     holder: usize,
@@ -73,7 +57,7 @@
     op: Op,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     real: Duration,
     rates: [i64; HOLDERS],
     log: Log,
@@ -87,11 +71,11 @@
     engine: FenceCheck,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(rates: [i64; HOLDERS]) -> Self {
         let mut log = Log::default();
         log.apply(Op::Expire);
-        let mut world = Self {
+        let mut simulation = Self {
             real: Duration::from_secs(1_000),
             rates,
             log,
@@ -104,22 +88,22 @@
             orders: Vec::new(),
             engine: FenceCheck::default(),
         };
-        world.clock = LeaderClock::start(LogTime(0), world.now(0));
-        world
+        simulation.clock = LeaderClock::start(LogTime(0), simulation.now(0));
+        simulation
     }
 
-    /// The time on the clock of process `n`, which holds leases and leads the log.
+    /// The local time of process `n`, which can be both holder and leader.
     fn now(&self, n: usize) -> Duration {
-        let real = i64::try_from(self.real.as_micros()).expect("a short run");
+        let real = i64::try_from(self.real.as_micros()).expect("real time fits in an i64");
         let micros = real + real * self.rates[n] / 1_000_000;
-        Duration::from_micros(u64::try_from(micros).expect("a clock ahead of zero"))
+        Duration::from_micros(u64::try_from(micros).expect("a positive time"))
     }
 
     pub(crate) fn step(&mut self, step: Step) {
         match step {
-            Step::Pass { millis } => self.real += Duration::from_millis(millis),
+            Step::Advance { millis } => self.real += Duration::from_millis(millis),
             Step::Acquire { holder, ttl } => self.acquire(holder, ttl),
-            Step::Ask { holder, ttl } => {
+            Step::Request { holder, ttl } => {
                 let op = grant(holder, Duration::from_millis(ttl));
                 self.requests.push(Request {
                     holder,
@@ -127,27 +111,30 @@
                     op,
                 });
             }
-            Step::Arrive { at, again } => {
-                if let Some(req) = take(&mut self.requests, at, again) {
+            Step::Propose { at, duplicate } => {
+                if let Some(req) = take_message(&mut self.requests, at, duplicate) {
                     self.proposals
                         .push((self.clock.stamp(self.now(self.leader)), req));
                 }
             }
-            Step::Commit { lose } => self.commit(lose),
-            Step::Reply { at, again } => {
-                if let Some((req, reply)) = take(&mut self.replies, at, again) {
+            Step::Commit { lose_reply } => self.commit(lose_reply),
+            Step::DeliverReply { at, duplicate } => {
+                if let Some((req, reply)) = take_message(&mut self.replies, at, duplicate) {
                     let now = self.now(req.holder);
                     self.holders[req.holder].on_reply(req.sent, now, &reply);
                 }
             }
-            Step::Elect { leader, keep } => {
-                if !keep {
+            Step::Elect {
+                leader,
+                keep_proposals,
+            } => {
+                if !keep_proposals {
                     self.proposals.clear();
                 }
                 self.leader = leader;
                 self.clock = LeaderClock::start(self.log.machine.now(), self.now(leader));
             }
-            Step::Order { holder } => self.order(holder),
+            Step::SendOrder { holder } => self.send_order(holder),
             Step::Release { holder } => self.release(holder),
         }
     }
@@ -164,42 +151,44 @@
         }
     }
 
-    fn commit(&mut self, lose: bool) {
+    fn commit(&mut self, lose_reply: bool) {
         if self.proposals.is_empty() {
             return;
         }
         let (at, req) = self.proposals.remove(0);
         self.log.at = at;
         let Reply::Lease(reply) = self.log.apply(req.op.clone()) else {
-            panic!("a lease is answered by a lease");
+            panic!("unexpected reply to a lease request");
         };
-        if !lose {
+        if !lose_reply {
             self.replies.push((req, reply));
         }
     }
 
-    /// A holder orders an engine that ignores numbers; the sidecar's clock may be slow in aborting.
-    fn order(&mut self, holder: usize) {
-        let guard = Guard::Wait {
+    /// Sends an order to an engine that ignores numbers; a slow sidecar clock may delay its abort.
+    fn send_order(&mut self, holder: usize) {
+        let mode = Guard::Wait {
             order_timeout: ORDER_TIMEOUT,
         };
         let now = self.now(holder);
-        if !self.holders[holder].may_order(now, guard) {
+        if !self.holders[holder].may_order(now, mode) {
             return;
         }
         let real = self.real;
         self.orders.retain(|(_, end)| *end > real);
-        let other = self.orders.iter().find(|(h, _)| *h != holder);
+        let conflicting = self.orders.iter().find(|(h, _)| *h != holder);
         assert!(
-            other.is_none(),
-            "an order of an earlier holder is still under way"
+            conflicting.is_none(),
+            "an order of an earlier holder is still in flight"
         );
-        let longest = ORDER_TIMEOUT.mul_f64(1.0 + f64::from(DRIFT) / 1e6);
-        self.orders.push((holder, real + longest));
-        let number = self.holders[holder].number(now).expect("it may order");
+        let max_duration = ORDER_TIMEOUT.mul_f64(1.0 + f64::from(DRIFT) / 1e6);
+        self.orders.push((holder, real + max_duration));
+        let number = self.holders[holder]
+            .number(now)
+            .expect("the holder can send orders");
         assert!(
             self.engine.accept(number),
-            "the present holder's number is refused"
+            "the number of the current holder is refused"
         );
     }
 
@@ -226,15 +215,19 @@
     }
 
     pub(crate) fn check(&self) {
-        let acting = (0..HOLDERS).filter(|n| self.holders[*n].may_act(self.now(*n)));
-        let acting: Vec<_> = acting.collect();
-        assert!(acting.len() <= 1, "{acting:?} hold one lease at once");
+        let active = (0..HOLDERS).filter(|n| self.holders[*n].is_held(self.now(*n)));
+        let active: Vec<_> = active.collect();
+        assert!(
+            active.len() <= 1,
+            "processes {active:?} hold the lease at once"
+        );
     }
 }
 
-fn take<T: Clone>(queue: &mut Vec<T>, at: usize, again: bool) -> Option<T> {
+/// Takes a message out of `queue`, or copies it if `duplicate`.
+fn take_message<T: Clone>(queue: &mut Vec<T>, at: usize, duplicate: bool) -> Option<T> {
     let at = at % queue.len().max(1);
-    match again {
+    match duplicate {
         true => queue.get(at).cloned(),
         false => (!queue.is_empty()).then(|| queue.swap_remove(at)),
     }
--- a/crates/state/tests/testsuite/ledger_world.rs
+++ b/crates/state/tests/testsuite/ledger_simulation.rs
@@ -1,4 +1,4 @@
-//! The world of the randomised ledger runs: entries, sidecars, a ledger, and what is on its way.
+//! Simulation of entries, sidecars and a ledger with messages in flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,44 +9,37 @@
 
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Step {
+    /// An entry receives a call and proposes its intent.
     Call {
         entry: usize,
         key: usize,
         sidecar: usize,
     },
+    /// A proposal is committed.
     Commit {
         at: usize,
-        again: bool,
+        duplicate: bool,
         lose_reply: bool,
     },
-    Deliver {
-        at: usize,
-        again: bool,
-    },
-    GiveUp {
-        entry: usize,
-    },
-    Disown {
-        at: usize,
-    },
-    Reread {
-        at: usize,
-    },
-    CrashEntry {
-        entry: usize,
-    },
-    CrashSidecar {
-        sidecar: usize,
-    },
-    Pass {
-        hours: u64,
-    },
-    Retention {
-        hours: u32,
-    },
-    NewKey {
-        dated: bool,
-    },
+    /// A `Start` reaches its sidecar.
+    DeliverStart { at: usize, duplicate: bool },
+    /// An entry closes an attempt that it has not started.
+    CloseByEntry { entry: usize },
+    /// A sidecar closes an attempt that it has not dispatched.
+    CloseBySidecar { at: usize },
+    /// The reread call looks for the booking of an attempt.
+    Reread { at: usize },
+    /// An entry restarts without state.
+    CrashEntry { entry: usize },
+    /// A sidecar restarts without state.
+    CrashSidecar { sidecar: usize },
+    /// Log time advances and records expire.
+    Advance { hours: u64 },
+    /// The retention changes.
+    SetRetention { hours: u32 },
+    /// A caller issues a new key.
+    NewKey { dated: bool },
+    /// The ledger is restored from its snapshot.
     RestartLedger,
 }
 
@@ -54,13 +47,13 @@
 struct Entry {
     incarnation: u64,
     attempts: u64,
-    waiting: BTreeMap<AttemptId, (Call, ProcessId)>,
+    pending: BTreeMap<AttemptId, (Call, ProcessId)>,
 }
 
 #[derive(Default)]
 struct Sidecar {
     incarnation: u64,
-    refused: BTreeSet<AttemptId>,
+    closed: BTreeSet<AttemptId>,
     dispatched: BTreeSet<AttemptId>,
 }
 
@@ -71,29 +64,29 @@
 }
 
 #[derive(Default)]
-pub(crate) struct World {
+pub(crate) struct Simulation {
     log: Log,
     entries: [Entry; 2],
     sidecars: [Sidecar; 2],
     keys: Vec<String>,
     proposals: Vec<LedgerOp>,
     starts: Vec<Start>,
-    doubts: Vec<(Call, AttemptId, ProcessId)>,
+    unresolved: Vec<(Call, AttemptId, ProcessId)>,
     runs: BTreeMap<KeyDigest, AttemptId>,
     answers: BTreeMap<KeyDigest, Outcome>,
     incarnations: u64,
-    most_open: usize,
+    max_open: usize,
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             keys: vec!["order-0".into(), "ledger-0.order-1".into()],
             ..Self::default()
         };
-        (0..2).for_each(|n| world.crash_entry(n));
-        (0..2).for_each(|n| world.crash_sidecar(n));
-        world
+        (0..2).for_each(|n| simulation.crash_entry(n));
+        (0..2).for_each(|n| simulation.crash_sidecar(n));
+        simulation
     }
 
     pub(crate) fn step(&mut self, step: Step) {
@@ -105,17 +98,17 @@
             } => self.call(entry, key, sidecar),
             Step::Commit {
                 at,
-                again,
+                duplicate,
                 lose_reply,
-            } => self.commit(at, again, lose_reply),
-            Step::Deliver { at, again } => self.deliver(at, again),
-            Step::GiveUp { entry } => self.give_up(entry),
-            Step::Disown { at } => self.disown(at),
+            } => self.commit(at, duplicate, lose_reply),
+            Step::DeliverStart { at, duplicate } => self.deliver_start(at, duplicate),
+            Step::CloseByEntry { entry } => self.close_by_entry(entry),
+            Step::CloseBySidecar { at } => self.close_by_sidecar(at),
             Step::Reread { at } => self.reread(at),
             Step::CrashEntry { entry } => self.crash_entry(entry),
             Step::CrashSidecar { sidecar } => self.crash_sidecar(sidecar),
-            Step::Pass { hours } => self.log.pass(hours),
-            Step::Retention { hours } => self.set_retention(hours),
+            Step::Advance { hours } => self.log.advance(hours),
+            Step::SetRetention { hours } => self.set_retention(hours),
             Step::NewKey { dated } => self.new_key(dated),
             Step::RestartLedger => self.log.restart(),
         }
@@ -156,7 +149,7 @@
         self.log.apply(Op::SetLimits(limits));
     }
 
-    /// A caller sends a key; the entry proposes its intent.
+    /// Entry `n` receives a call and proposes its intent.
     fn call(&mut self, n: usize, key: usize, sidecar: usize) {
         let call = Call::new(&self.keys[key % self.keys.len()]);
         let target = process(
@@ -167,34 +160,34 @@
         entry.attempts += 1;
         let id = attempt(entry.incarnation, entry.attempts);
         self.proposals.push(call.intent(id, &target));
-        entry.waiting.insert(id, (call, target));
+        entry.pending.insert(id, (call, target));
     }
 
-    /// A proposal is committed; its reply may reach the entry that waits for it.
-    fn commit(&mut self, at: usize, again: bool, lose_reply: bool) {
+    /// Commits a proposal and delivers its reply to the entry, unless it is lost.
+    fn commit(&mut self, at: usize, duplicate: bool, lose_reply: bool) {
         if self.proposals.is_empty() {
             return;
         }
         let at = at % self.proposals.len();
-        let op = match again {
+        let op = match duplicate {
             true => self.proposals[at].clone(),
             false => self.proposals.swap_remove(at),
         };
         let Reply::Batch(replies) = self.log.apply(Op::Batch(vec![op.clone()])) else {
-            panic!("a batch is answered by a batch");
+            panic!("unexpected reply to a batch");
         };
         if let LedgerReply::AlreadyDone(outcome) = &replies[0] {
-            let first = self
+            let first_answer = self
                 .answers
                 .entry(op.key)
                 .or_insert_with(|| outcome.clone());
             assert_eq!(
-                first, outcome,
+                first_answer, outcome,
                 "two callers of one key got different answers"
             );
             assert!(
                 self.runs.contains_key(&op.key),
-                "an answer of a call that never ran"
+                "a call that never ran has an answer"
             );
         }
         if let (Record::Intent(intent), false) = (&op.write, lose_reply) {
@@ -207,7 +200,7 @@
             .entries
             .iter_mut()
             .find(|e| e.incarnation == id.entry.0);
-        let Some((call, sidecar)) = entry.and_then(|e| e.waiting.remove(&id)) else {
+        let Some((call, sidecar)) = entry.and_then(|e| e.pending.remove(&id)) else {
             return;
         };
         match reply {
@@ -219,14 +212,14 @@
             LedgerReply::InDoubt {
                 attempt, sidecar, ..
             } => {
-                self.doubts.push((call, *attempt, sidecar.clone()));
+                self.unresolved.push((call, *attempt, sidecar.clone()));
             }
             _ => {}
         }
     }
 
-    /// A `Start` reaches its sidecar, which dispatches unless it has disowned the attempt.
-    fn deliver(&mut self, at: usize, again: bool) {
+    /// Delivers a `Start`; its sidecar dispatches the attempt unless it has closed it.
+    fn deliver_start(&mut self, at: usize, duplicate: bool) {
         if self.starts.is_empty() {
             return;
         }
@@ -235,57 +228,57 @@
         let id = start.attempt;
         let sidecar = (0..2).find(|n| self.sidecars[*n].incarnation == start.sidecar.incarnation.0);
         if let Some(sidecar) = sidecar.map(|n| &mut self.sidecars[n])
-            && !sidecar.refused.contains(&id)
+            && !sidecar.closed.contains(&id)
             && sidecar.dispatched.insert(id)
         {
             let earlier = self.runs.insert(start.call.key.digest, id);
-            assert_eq!(earlier, None, "a call that may not be repeated ran twice");
+            assert_eq!(earlier, None, "an at-most-once call ran twice");
             let outcome = start.call.outcome(id, answer(&id.to_string()));
             self.proposals.push(outcome);
         }
-        if !again {
+        if !duplicate {
             self.starts.swap_remove(at);
         }
     }
 
-    /// An entry gives an attempt up for which it has sent no `Start`.
-    fn give_up(&mut self, n: usize) {
+    /// Entry `n` closes an attempt for which it has sent no `Start`.
+    fn close_by_entry(&mut self, n: usize) {
         let entry = &mut self.entries[n];
-        if let Some((id, (call, _))) = entry.waiting.pop_first() {
+        if let Some((id, (call, _))) = entry.pending.pop_first() {
             self.proposals
                 .push(call.close(id, Disowned::ByEntry(id.entry)));
         }
     }
 
-    /// The sidecar named in a doubt is asked; it can answer if it is still the same run.
-    fn disown(&mut self, at: usize) {
-        if self.doubts.is_empty() {
+    /// Asks the sidecar of an unresolved attempt to close it, which only the same run can do.
+    fn close_by_sidecar(&mut self, at: usize) {
+        if self.unresolved.is_empty() {
             return;
         }
-        let at = at % self.doubts.len();
-        let (call, id, named) = self.doubts.swap_remove(at);
-        let run = named.incarnation.0;
+        let at = at % self.unresolved.len();
+        let (call, id, process) = self.unresolved.swap_remove(at);
+        let run = process.incarnation.0;
         let sidecar = self.sidecars.iter_mut().find(|s| s.incarnation == run);
         if let Some(sidecar) = sidecar.filter(|s| !s.dispatched.contains(&id)) {
-            sidecar.refused.insert(id);
+            sidecar.closed.insert(id);
             self.proposals
-                .push(call.close(id, Disowned::BySidecar(named)));
+                .push(call.close(id, Disowned::BySidecar(process)));
         }
     }
 
-    /// The rereading call finds a booking that was made.
+    /// Resolves an attempt whose booking the reread call finds.
     fn reread(&mut self, at: usize) {
-        let Some((call, id, _)) = self.doubts.get(at % self.doubts.len().max(1)) else {
+        let Some((call, id, _)) = self.unresolved.get(at % self.unresolved.len().max(1)) else {
             return;
         };
         if self.runs.get(&call.key.digest) == Some(id) {
-            self.proposals.push(call.settle(*id, answer("reread")));
+            self.proposals.push(call.resolve(*id, answer("reread")));
         }
     }
 
     pub(crate) fn check(&mut self) {
         let usage = self.log.machine.ledger().usage(&account("bistro"));
         assert!(usage.open <= usage.records);
-        self.most_open = self.most_open.max(usage.open as usize);
+        self.max_open = self.max_open.max(usage.open as usize);
     }
 }
--- a/crates/state/tests/testsuite/main.rs
+++ b/crates/state/tests/testsuite/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the replicated state machine.
 //!
-//! The randomised runs are the same at every call. A longer run with other seeds:
+//! Randomised tests use fixed seeds. To run more cases with another seed:
 //!
 //! ```text
 //! COLTSFOOTNOTCH_CASES=100000 COLTSFOOTNOTCH_SEED=1 \
@@ -11,8 +11,8 @@
 mod configuration;
 mod format;
 mod lease_runs;
-mod lease_world;
+mod lease_simulation;
 mod ledger_runs;
-mod ledger_world;
+mod ledger_simulation;
 mod orders;
 mod support;
--- a/crates/state/tests/testsuite/orders.rs
+++ b/crates/state/tests/testsuite/orders.rs
@@ -1,12 +1,12 @@
-//! Orders to engines after restarts, with late reports and a slow weight store.
+//! Orders to engines after restarts, with outdated reports and a slow weight store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use coltsfootnotch_state::prelude::*;
 use coltsfootnotch_state::{
-    Action, Desired, FencingNumber, Grant, Order, OrderDone, OrderReply, Placement, Reconcile,
-    Reported, StoreLimit, WeightStore, reconcile,
+    Action, DesiredPlacement, FencingNumber, Grant, Order, OrderDone, OrderReply, Placement,
+    ReconcileInput, ReportedPlacement, WeightLoadScheduler, WeightStoreLimit, reconcile,
 };
 use coltsfootnotch_types::{Incarnation, LeaseName, UpstreamName};
 use googletest::prelude::*;
@@ -14,9 +14,9 @@
 use crate::support::{Log, process};
 
 const LAG: Duration = Duration::from_secs(30);
-const LIMIT: StoreLimit = StoreLimit {
+const LIMIT: WeightStoreLimit = WeightStoreLimit {
     bytes_per_sec: 1_000,
-    loads_at_once: 2,
+    max_concurrent_loads: 2,
 };
 
 fn upstream(n: usize) -> UpstreamName {
@@ -27,7 +27,7 @@
     LeaseName::new("orders").expect("a valid name")
 }
 
-fn wanted() -> Placement {
+fn desired_placement() -> Placement {
     Placement {
         model: Some(("menu".into(), "v2".into())),
         adapters: [("bistro".to_owned(), "v1".to_owned())].into(),
@@ -35,19 +35,19 @@
     }
 }
 
-/// Engines with a log that records what they have carried out.
+/// Engines with a log that records their finished orders.
 struct Fleet {
     log: Log,
-    desired: Vec<Desired>,
-    reported: BTreeMap<UpstreamName, Reported>,
-    store: WeightStore,
+    desired: Vec<DesiredPlacement>,
+    reported: BTreeMap<UpstreamName, ReportedPlacement>,
+    scheduler: WeightLoadScheduler,
 }
 
 impl Fleet {
     fn new(engines: usize) -> Self {
-        let desired = (0..engines).map(|n| Desired {
+        let desired = (0..engines).map(|n| DesiredPlacement {
             upstream: upstream(n),
-            placement: wanted(),
+            placement: desired_placement(),
             weight_bytes: [("menu".to_owned(), 5_000), ("bistro".to_owned(), 1_000)].into(),
         });
         let mut log = Log::default();
@@ -60,7 +60,7 @@
             log,
             desired: desired.collect(),
             reported: BTreeMap::new(),
-            store: WeightStore::new(LIMIT, Duration::ZERO, Duration::ZERO),
+            scheduler: WeightLoadScheduler::new(LIMIT, Duration::ZERO, Duration::ZERO),
         };
         (0..engines).for_each(|n| fleet.report(n, 1, Placement::default()));
         fleet
@@ -68,7 +68,7 @@
 
     fn report(&mut self, n: usize, incarnation: u64, placement: Placement) {
         let incarnation = Incarnation(incarnation);
-        let report = Reported {
+        let report = ReportedPlacement {
             upstream: upstream(n),
             incarnation,
             placement,
@@ -76,8 +76,8 @@
         self.reported.insert(upstream(n), report);
     }
 
-    fn next(&mut self, now: u64) -> Vec<Order> {
-        let cx = Reconcile {
+    fn reconcile(&mut self, now: u64) -> Vec<Order> {
+        let input = ReconcileInput {
             desired: &self.desired,
             reported: &self.reported,
             finished: self.log.machine.finished(),
@@ -85,11 +85,11 @@
             report_lag: LAG,
         };
         let at = self.log.machine.now();
-        reconcile(&cx, &mut self.store, at, Duration::from_secs(now))
+        reconcile(&input, &mut self.scheduler, at, Duration::from_secs(now))
     }
 
-    fn done(&mut self, order: &Order, number: u64) -> OrderReply {
-        self.store.end(&order.upstream);
+    fn finish(&mut self, order: &Order, number: u64) -> OrderReply {
+        self.scheduler.on_finished(&order.upstream);
         let reply = self.log.apply(Op::OrderDone(OrderDone {
             lease: lease(),
             number: FencingNumber(number),
@@ -99,15 +99,15 @@
         }));
         match reply {
             Reply::Order(reply) => reply,
-            other => panic!("an order is answered by {other:?}"),
+            other => panic!("unexpected reply to a finished order: {other:?}"),
         }
     }
 
-    /// Carries out whatever is ordered until nothing is.
-    fn settle(&mut self, mut now: u64) -> Vec<Action> {
+    /// Executes orders until there are none; returns their actions.
+    fn converge(&mut self, mut now: u64) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some(order) = self.next(now).first() {
-            self.done(order, 1);
+        while let Some(order) = self.reconcile(now).first() {
+            self.finish(order, 1);
             actions.push(order.action.clone());
             now += 5;
         }
@@ -117,36 +117,35 @@
 
 #[gtest]
 fn an_engine_gets_model_role_and_adapters_in_that_order() {
-    insta::assert_debug_snapshot!(Fleet::new(1).settle(0));
+    insta::assert_debug_snapshot!(Fleet::new(1).converge(0));
 }
 
 #[gtest]
 fn a_control_host_that_restarts_does_not_repeat_finished_orders() {
-    // An engine has carried everything out, but its report still shows it empty when the control
-    // host restarts from its snapshot. The new process orders nothing. Only when the reports can lag
-    // no longer is an adapter that is missing there loaded again.
+    // Guards against repeated orders while the engine's report is outdated. Once the report lag has
+    // passed, an adapter that is missing in the report is loaded again.
     let mut fleet = Fleet::new(1);
-    fleet.settle(0);
+    fleet.converge(0);
     fleet.log.restart();
-    fleet.store = WeightStore::new(LIMIT, Duration::ZERO, Duration::ZERO);
-    expect_that!(fleet.next(100), is_empty());
-    let mut lost = wanted();
-    lost.adapters.clear();
-    fleet.report(0, 1, lost);
-    expect_that!(fleet.next(100), is_empty());
+    fleet.scheduler = WeightLoadScheduler::new(LIMIT, Duration::ZERO, Duration::ZERO);
+    expect_that!(fleet.reconcile(100), is_empty());
+    let mut without_adapters = desired_placement();
+    without_adapters.adapters.clear();
+    fleet.report(0, 1, without_adapters);
+    expect_that!(fleet.reconcile(100), is_empty());
     fleet.log.at = fleet.log.at.after(LAG);
     fleet.log.apply(Op::Expire);
-    expect_that!(fleet.settle(100), len(eq(1)));
+    expect_that!(fleet.converge(100), len(eq(1)));
 }
 
 #[gtest]
-fn a_restarted_engine_is_loaded_again_and_an_old_holder_is_not_believed() {
-    // A restarted engine has lost its weights: what its earlier run had finished says nothing about
-    // it. A holder whose lease went to another can no longer record that it finished an order.
+fn a_restarted_engine_is_loaded_again_and_an_old_holder_is_refused() {
+    // Finished orders of an earlier engine run do not count, since a restarted engine has lost its
+    // weights. A holder whose lease was granted to another cannot record finished orders.
     let mut fleet = Fleet::new(1);
-    fleet.settle(0);
+    fleet.converge(0);
     fleet.report(0, 2, Placement::default());
-    let orders = fleet.next(100);
+    let orders = fleet.reconcile(100);
     expect_that!(orders, len(eq(1)));
     fleet.log.at = LogTime(20_000);
     fleet.log.apply(Op::Grant(Grant {
@@ -154,20 +153,19 @@
         holder: process("control", 2),
         ttl: Duration::from_secs(10),
     }));
-    expect_that!(fleet.done(&orders[0], 1), eq(OrderReply::OldNumber));
+    expect_that!(fleet.finish(&orders[0], 1), eq(OrderReply::StaleNumber));
 }
 
 #[gtest]
-fn many_engines_that_want_weights_get_them_one_after_another() {
-    // A new version is wanted on six engines at once, and the store gives 1,000 bytes a second: a
-    // load of 5,000 bytes starts every five seconds, and no more than two run at a time. A process
-    // that has just taken over waits for what its predecessor may have started.
+fn many_engines_load_weights_one_after_another() {
+    // Six engines need loads of 5,000 bytes from a store of 1,000 bytes/s: one starts every five
+    // seconds, at most two run at once, and a new process first waits for loads of its predecessor.
     let mut fleet = Fleet::new(6);
-    fleet.store = WeightStore::new(LIMIT, Duration::ZERO, Duration::from_secs(5));
-    let starts: Vec<_> = (0..30).map(|now| fleet.next(now).len()).collect();
+    fleet.scheduler = WeightLoadScheduler::new(LIMIT, Duration::ZERO, Duration::from_secs(5));
+    let starts: Vec<_> = (0..30).map(|now| fleet.reconcile(now).len()).collect();
     let at: Vec<_> = (0..30).filter(|now| starts[*now] > 0).collect();
     expect_that!(at, elements_are![eq(&5), eq(&10)]);
-    expect_that!(fleet.store.running(), eq(2));
-    fleet.store.end(&upstream(0));
-    expect_that!(fleet.next(30), len(eq(1)));
+    expect_that!(fleet.scheduler.running(), eq(2));
+    fleet.scheduler.on_finished(&upstream(0));
+    expect_that!(fleet.reconcile(30), len(eq(1)));
 }
--- a/crates/state/tests/testsuite/support.rs
+++ b/crates/state/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! What several test files need.
+//! Helpers shared by the tests.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use coltsfootnotch_types::{AccountName, HostName, Incarnation};
 use proptest::test_runner::{Config, RngSeed};
 
-/// The same verdict at every run, unless a longer run is asked for by `COLTSFOOTNOTCH_CASES` and
-/// `COLTSFOOTNOTCH_SEED`.
+/// Configures `cases` cases with a fixed seed, unless `COLTSFOOTNOTCH_CASES` and
+/// `COLTSFOOTNOTCH_SEED` override them.
 pub(crate) fn randomised(cases: u32, seed: u64) -> Config {
     let number = |name| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
     let cases = number("COLTSFOOTNOTCH_CASES").map_or(cases, |n| u32::try_from(n).unwrap_or(cases));
@@ -52,7 +52,7 @@
     }
 }
 
-/// A state machine with a log of its own.
+/// A state machine with its log.
 #[derive(Default)]
 pub(crate) struct Log {
     pub(crate) machine: StateMachine,
@@ -70,27 +70,27 @@
     pub(crate) fn ledger(&mut self, op: LedgerOp) -> LedgerReply {
         match self.apply(Op::Ledger(op)) {
             Reply::Ledger(reply) => reply,
-            other => panic!("a ledger write is answered by {other:?}"),
+            other => panic!("unexpected reply to a ledger write: {other:?}"),
         }
     }
 
-    pub(crate) fn pass(&mut self, hours: u64) {
+    pub(crate) fn advance(&mut self, hours: u64) {
         self.at = self.at.after(Duration::from_millis(hours * HOUR));
         self.apply(Op::Expire);
     }
 
     pub(crate) fn restart(&mut self) {
         let bytes = self.machine.snapshot();
-        self.machine = StateMachine::restore(&bytes).expect("its own snapshot");
+        self.machine = StateMachine::restore(&bytes).expect("a valid snapshot");
         assert_eq!(
             self.machine.snapshot(),
             bytes,
-            "a snapshot survives a restart"
+            "the snapshot changes when it is restored"
         );
     }
 }
 
-/// The writes about one key of one account.
+/// A call with its account and key, which creates ledger writes.
 pub(crate) struct Call {
     pub(crate) account: AccountName,
     pub(crate) key: IdempotencyKey,
@@ -118,7 +118,7 @@
         self.write(Record::Close(Close { attempt, by }))
     }
 
-    pub(crate) fn settle(&self, attempt: AttemptId, outcome: Outcome) -> LedgerOp {
+    pub(crate) fn resolve(&self, attempt: AttemptId, outcome: Outcome) -> LedgerOp {
         self.write(Record::Settle(Settle { attempt, outcome }))
     }
 
