--- a/crates/state/examples/sizes.rs
+++ b/crates/state/examples/sizes.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use coltsfootnotch_state::prelude::*;
-use coltsfootnotch_state::{KeyError, Record, RecordedBody};
+use coltsfootnotch_state::{KeyError, LedgerWrite, RecordedBody};
 use coltsfootnotch_types::{AccountName, HostName, Incarnation, NameError};
 use derive_more::{Display, Error, From};
 
@@ -54,7 +54,7 @@
         body: RecordedBody::Whole(vec![b'x'; ANSWER_BYTES]),
     };
     LedgerOp {
-        write: Record::Outcome(attempt(number), outcome),
+        write: LedgerWrite::Outcome(attempt(number), outcome),
         ..intent.clone()
     }
 }
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -68,12 +68,12 @@
     /// Digest of the key.
     pub key: KeyDigest,
     /// The write.
-    pub write: Record,
+    pub write: LedgerWrite,
 }
 
 /// A write to the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Record {
+pub enum LedgerWrite {
     /// An attempt is about to be dispatched.
     Intent(Intent),
     /// The attempt ended with this outcome.
@@ -81,7 +81,7 @@
     /// The attempt is never dispatched.
     Close(Close),
     /// The reread call found the booking.
-    Settle(Settle),
+    Resolve(Resolve),
 }
 
 /// An attempt is about to be dispatched by `sidecar`.
@@ -103,24 +103,24 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// The process that closes it.
-    pub by: Disowned,
+    pub by: ClosedBy,
 }
 
 /// A process that can guarantee that an attempt is never dispatched.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Disowned {
+pub enum ClosedBy {
     /// The run of the sidecar named in the intent, which alone can dispatch the attempt.
-    BySidecar(ProcessId),
+    Sidecar(ProcessId),
     /// The run of the entry that created the attempt and has not sent its `Start`, without which no
     /// sidecar dispatches.
-    ByEntry(Incarnation),
+    Entry(Incarnation),
 }
 
 /// Resolves an open attempt with the answer found by the reread call of the manifest.
 ///
 /// A reread call that finds no booking resolves nothing: the upstream may still be processing it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Settle {
+pub struct Resolve {
     /// The attempt whose outcome is unknown.
     pub attempt: AttemptId,
     /// The answer to record.
@@ -192,7 +192,7 @@
         Self {
             account: account.clone(),
             key: key.digest,
-            write: Record::Intent(intent),
+            write: LedgerWrite::Intent(intent),
         }
     }
 }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -50,7 +50,7 @@
     /// The reply to `req` if the accepted configurations already decide it, so that a host need not
     /// propose it. `None` if `req` would be a new configuration.
     #[must_use]
-    pub fn known(&self, req: &ApplyConfig) -> Option<ConfigReply> {
+    pub fn decided_reply(&self, req: &ApplyConfig) -> Option<ConfigReply> {
         let (number, digest) = (req.number, req.digest);
         if let Some(accepted) = self.digest_of(number) {
             return Some(if accepted == digest {
@@ -73,7 +73,7 @@
         if found != req.digest {
             return ConfigReply::DigestMismatch { found };
         }
-        if let Some(reply) = self.known(req) {
+        if let Some(reply) = self.decided_reply(req) {
             return reply;
         }
         self.accept(req)
--- a/crates/state/src/finished_orders.rs
+++ b/crates/state/src/finished_orders.rs
@@ -80,7 +80,7 @@
             return placement;
         }
         let fresh = done.iter().filter(|f| at.since(f.at) < lag);
-        fresh.for_each(|f| f.action.carry_out(&mut placement));
+        fresh.for_each(|f| f.action.apply_to(&mut placement));
         placement
     }
 }
--- a/crates/state/src/lease_holder.rs
+++ b/crates/state/src/lease_holder.rs
@@ -10,7 +10,7 @@
 
 /// How an engine is protected from orders of an earlier holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Guard {
+pub enum FencingMode {
     /// The engine refuses orders with old numbers: a new holder may send orders at once.
     Numbers,
     /// The engine ignores numbers. If the previous lease expired without a release, the new holder
@@ -26,7 +26,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use coltsfootnotch_state::{DriftBound, FencingNumber, Guard, LeaseHolder, LeaseReply};
+/// use coltsfootnotch_state::{DriftBound, FencingNumber, FencingMode, LeaseHolder, LeaseReply};
 /// let sec = Duration::from_secs;
 /// let (number, ttl) = (FencingNumber(9), sec(10));
 /// let reply = LeaseReply::Granted { number, ttl, expired_predecessor: None };
@@ -34,7 +34,7 @@
 /// holder.on_reply(sec(100), sec(101), &reply);
 /// assert!(holder.is_held(sec(109)));
 /// assert!(!holder.is_held(sec(110)), "the lease ends before it can be granted to another holder");
-/// assert!(!holder.may_order(sec(109), Guard::Wait { order_timeout: sec(2) }));
+/// assert!(!holder.can_order(sec(109), FencingMode::Wait { order_timeout: sec(2) }));
 /// ```
 #[derive(Debug, Clone)]
 pub struct LeaseHolder {
@@ -106,7 +106,7 @@
     }
 
     /// Stops using the lease and returns the fencing number to release in the log.
-    pub fn give_up(&mut self) -> Option<FencingNumber> {
+    pub fn start_release(&mut self) -> Option<FencingNumber> {
         let number = self.held.take().map(|h| h.number)?;
         self.released = Some(number);
         Some(number)
@@ -126,13 +126,13 @@
 
     /// Whether an order may be sent at `now` to an engine with fencing `mode`.
     #[must_use]
-    pub fn may_order(&self, now: Duration, mode: Guard) -> bool {
+    pub fn can_order(&self, now: Duration, mode: FencingMode) -> bool {
         let Some(held) = self.held.filter(|h| now < h.stop) else {
             return false;
         };
         match mode {
-            Guard::Numbers => true,
-            Guard::Wait { order_timeout } => {
+            FencingMode::Numbers => true,
+            FencingMode::Wait { order_timeout } => {
                 let ends_in_time = now + order_timeout <= held.stop;
                 let waited = now >= held.granted + self.wait(&held, order_timeout);
                 ends_in_time && waited
--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     AccountUsage, BookingRecord, BookingState, KeyDigest, LedgerLimits, LedgerOp, LedgerRefusal,
-    LedgerReply, LogTime, Record,
+    LedgerReply, LedgerWrite, LogTime,
 };
 
 mod write;
@@ -117,12 +117,12 @@
 
     pub(crate) fn apply(&mut self, now: LogTime, op: &LedgerOp) -> LedgerReply {
         let reply = match &op.write {
-            Record::Intent(intent) => self.apply_intent(now, op, intent),
-            Record::Outcome(attempt, outcome) => self.record_outcome(op, *attempt, outcome),
-            Record::Close(close) => self.close(op, close),
-            Record::Settle(settle) => {
-                match self.record_outcome(op, settle.attempt, &settle.outcome) {
-                    LedgerReply::Recorded => LedgerReply::Settled,
+            LedgerWrite::Intent(intent) => self.apply_intent(now, op, intent),
+            LedgerWrite::Outcome(attempt, outcome) => self.record_outcome(op, *attempt, outcome),
+            LedgerWrite::Close(close) => self.close(op, close),
+            LedgerWrite::Resolve(resolve) => {
+                match self.record_outcome(op, resolve.attempt, &resolve.outcome) {
+                    LedgerReply::Recorded => LedgerReply::Resolved,
                     other => other,
                 }
             }
@@ -207,7 +207,7 @@
             LedgerReply::InDoubt { .. } => &mut c.in_doubt,
             LedgerReply::BodyMismatch => &mut c.mismatches,
             LedgerReply::TooOld => &mut c.too_old,
-            LedgerReply::Recorded | LedgerReply::Settled => &mut c.recorded,
+            LedgerReply::Recorded | LedgerReply::Resolved => &mut c.recorded,
             LedgerReply::Closed => &mut c.closed,
             LedgerReply::Refused(LedgerRefusal::AttemptClosed | LedgerRefusal::NotAuthorized) => {
                 &mut c.violations
--- a/crates/state/src/ledger/write.rs
+++ b/crates/state/src/ledger/write.rs
@@ -4,7 +4,7 @@
     AccountLedger, BookingRecord, BookingState, Ledger, LedgerOp, LedgerRefusal, LedgerReply,
     LogTime,
 };
-use crate::{AttemptId, Close, Disowned, Intent, Outcome};
+use crate::{AttemptId, Close, ClosedBy, Intent, Outcome};
 
 impl Ledger {
     pub(super) fn apply_intent(
@@ -114,8 +114,8 @@
                 return LedgerReply::Refused(LedgerRefusal::NotOpen);
             }
             let is_authorized = match &close.by {
-                Disowned::BySidecar(by) => by == sidecar,
-                Disowned::ByEntry(by) => *by == attempt.entry,
+                ClosedBy::Sidecar(by) => by == sidecar,
+                ClosedBy::Entry(by) => *by == attempt.entry,
             };
             if !is_authorized {
                 return LedgerReply::Refused(LedgerRefusal::NotAuthorized);
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -8,8 +8,8 @@
 //! [`LeaderClock`]).
 //!
 //! Input that violates the protocol, such as the outcome of a closed attempt, is refused and
-//! counted. It never panics, since every member would panic again after each restart. `assert!`
-//! checks invariants of this crate only.
+//! counted. It never panics, since every member would panic again after each restart.
+//! `assert!` checks invariants of this crate only.
 
 mod clock;
 mod command;
@@ -36,8 +36,8 @@
 
 pub use clock::{LeaderClock, LogTime};
 pub use command::{
-    ApplyConfig, Close, Command, Disowned, Grant, Intent, LedgerOp, Op, OrderDone, Record, Release,
-    Renew, Settle,
+    ApplyConfig, Close, ClosedBy, Command, Grant, Intent, LedgerOp, LedgerWrite, Op, OrderDone,
+    Release, Renew, Resolve,
 };
 pub use config::{AcceptedConfig, ConfigState};
 pub use digest::{BodyDigest, KeyDigest};
@@ -47,7 +47,7 @@
 pub use finished_orders::{FinishedOrder, FinishedOrders};
 pub use key::{IdempotencyKey, KeyError};
 pub use lease::{Lease, Leases};
-pub use lease_holder::{Guard, LeaseHolder};
+pub use lease_holder::{FencingMode, LeaseHolder};
 pub use ledger::{Ledger, LedgerCounters};
 pub use limits::LedgerLimits;
 pub use machine::StateMachine;
--- a/crates/state/src/orders.rs
+++ b/crates/state/src/orders.rs
@@ -77,7 +77,7 @@
 
 impl Action {
     /// Applies the action to `placement`.
-    pub fn carry_out(&self, placement: &mut Placement) {
+    pub fn apply_to(&self, placement: &mut Placement) {
         match self {
             Self::LoadModel { model, version } => {
                 placement.model = Some((model.clone(), version.clone()));
@@ -95,7 +95,7 @@
 
     /// The model or adapter whose weights the action fetches, if any.
     #[must_use]
-    pub fn fetches(&self) -> Option<&str> {
+    pub fn fetched_weights(&self) -> Option<&str> {
         match self {
             Self::LoadModel { model, .. } => Some(model),
             Self::LoadAdapter { adapter, .. } => Some(adapter),
@@ -154,7 +154,7 @@
         let Some(action) = next_action(&desired.placement, &current) else {
             continue;
         };
-        if let Some(weights) = action.fetches() {
+        if let Some(weights) = action.fetched_weights() {
             let bytes = desired.weight_bytes.get(weights).copied().unwrap_or(0);
             if !scheduler.try_start(&desired.upstream, bytes, now) {
                 continue;
--- a/crates/state/src/reply.rs
+++ b/crates/state/src/reply.rs
@@ -89,7 +89,7 @@
     /// To a close: the attempt is closed, and another may start.
     Closed,
     /// To a resolution: the answer is recorded.
-    Settled,
+    Resolved,
 }
 
 /// The reason why a ledger write is refused.
--- a/crates/state/tests/testsuite/bookings.rs
+++ b/crates/state/tests/testsuite/bookings.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{Call, Log, account, answer, attempt, process};
 use coltsfootnotch_state::prelude::*;
-use coltsfootnotch_state::{Disowned, LedgerLimits, LedgerRefusal, LedgerReply, RecordedBody};
+use coltsfootnotch_state::{ClosedBy, LedgerLimits, LedgerRefusal, LedgerReply, RecordedBody};
 use googletest::prelude::*;
 
 const ACCOUNT_FULL: LedgerReply = LedgerReply::Refused(LedgerRefusal::AccountFull);
@@ -44,12 +44,12 @@
         log.ledger(call.intent(attempt(2, 1), &sidecar)),
         eq(&in_doubt)
     );
-    let by_restarted = call.close(attempt(1, 1), Disowned::BySidecar(restarted.clone()));
+    let by_restarted = call.close(attempt(1, 1), ClosedBy::Sidecar(restarted.clone()));
     expect_that!(
         log.ledger(by_restarted),
         eq(&LedgerReply::Refused(LedgerRefusal::NotAuthorized))
     );
-    let by_sidecar = call.close(attempt(1, 1), Disowned::BySidecar(sidecar));
+    let by_sidecar = call.close(attempt(1, 1), ClosedBy::Sidecar(sidecar));
     expect_that!(log.ledger(by_sidecar), eq(&LedgerReply::Closed));
     expect_that!(
         log.ledger(call.intent(attempt(2, 2), &restarted)),
@@ -72,7 +72,7 @@
     let (mut log, call) = (Log::default(), Call::new("order-1"));
     log.ledger(call.intent(attempt(1, 1), &process("sidecar-1", 10)));
     let resolved = call.resolve(attempt(1, 1), answer("found no. 17"));
-    expect_that!(log.ledger(resolved), eq(&LedgerReply::Settled));
+    expect_that!(log.ledger(resolved), eq(&LedgerReply::Resolved));
     expect_that!(
         log.ledger(call.outcome(attempt(1, 1), answer("no. 17"))),
         eq(&LedgerReply::AlreadyDone(answer("found no. 17")))
--- a/crates/state/tests/testsuite/lease_runs.rs
+++ b/crates/state/tests/testsuite/lease_runs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_state::prelude::*;
-use coltsfootnotch_state::{DriftBound, FencingNumber, Guard, LeaseHolder, LeaseReply};
+use coltsfootnotch_state::{DriftBound, FencingMode, FencingNumber, LeaseHolder, LeaseReply};
 use googletest::prelude::*;
 use proptest::prelude::{Just, Strategy, any, prop, prop_oneof, proptest};
 
@@ -70,14 +70,14 @@
     let mut holder = LeaseHolder::new(DriftBound::DEFAULT);
     holder.on_reply(sec(50), sec(51), &reply);
     expect_that!(holder.number(sec(51)), some(eq(FencingNumber(3))));
-    let wait = Guard::Wait {
+    let wait = FencingMode::Wait {
         order_timeout: sec(2),
     };
-    expect_that!(holder.may_order(sec(51), Guard::Numbers), eq(true));
-    expect_that!(holder.may_order(sec(53), wait), eq(false));
-    expect_that!(holder.may_order(sec(54), wait), eq(true));
+    expect_that!(holder.can_order(sec(51), FencingMode::Numbers), eq(true));
+    expect_that!(holder.can_order(sec(53), wait), eq(false));
+    expect_that!(holder.can_order(sec(54), wait), eq(true));
     expect_that!(
-        holder.may_order(sec(58), wait),
+        holder.can_order(sec(58), wait),
         eq(false),
         "the order would end after the lease"
     );
--- a/crates/state/tests/testsuite/lease_simulation.rs
+++ b/crates/state/tests/testsuite/lease_simulation.rs
@@ -4,7 +4,7 @@
 
 use coltsfootnotch_state::prelude::*;
 use coltsfootnotch_state::{
-    DriftBound, FenceCheck, Grant, Guard, LeaderClock, LeaseHolder, LeaseReply, Release,
+    DriftBound, FenceCheck, FencingMode, Grant, LeaderClock, LeaseHolder, LeaseReply, Release,
 };
 use coltsfootnotch_types::LeaseName;
 
@@ -167,11 +167,11 @@
 
     /// Sends an order to an engine that ignores numbers; a slow sidecar clock may delay its abort.
     fn send_order(&mut self, holder: usize) {
-        let mode = Guard::Wait {
+        let mode = FencingMode::Wait {
             order_timeout: ORDER_TIMEOUT,
         };
         let now = self.now(holder);
-        if !self.holders[holder].may_order(now, mode) {
+        if !self.holders[holder].can_order(now, mode) {
             return;
         }
         let real = self.real;
@@ -201,7 +201,7 @@
         {
             return;
         }
-        if let Some(number) = self.holders[holder].give_up() {
+        if let Some(number) = self.holders[holder].start_release() {
             let op = Op::Release(Release {
                 lease: lease(),
                 number,
--- a/crates/state/tests/testsuite/ledger_simulation.rs
+++ b/crates/state/tests/testsuite/ledger_simulation.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use coltsfootnotch_state::prelude::*;
-use coltsfootnotch_state::{Disowned, LedgerLimits, LedgerReply, Record};
+use coltsfootnotch_state::{ClosedBy, LedgerLimits, LedgerReply, LedgerWrite};
 
 use crate::support::{Call, Log, account, answer, attempt, process};
 
@@ -190,7 +190,7 @@
                 "a call that never ran has an answer"
             );
         }
-        if let (Record::Intent(intent), false) = (&op.write, lose_reply) {
+        if let (LedgerWrite::Intent(intent), false) = (&op.write, lose_reply) {
             self.on_reply(intent.attempt, &replies[0]);
         }
     }
@@ -246,7 +246,7 @@
         let entry = &mut self.entries[n];
         if let Some((id, (call, _))) = entry.pending.pop_first() {
             self.proposals
-                .push(call.close(id, Disowned::ByEntry(id.entry)));
+                .push(call.close(id, ClosedBy::Entry(id.entry)));
         }
     }
 
@@ -262,7 +262,7 @@
         if let Some(sidecar) = sidecar.filter(|s| !s.dispatched.contains(&id)) {
             sidecar.closed.insert(id);
             self.proposals
-                .push(call.close(id, Disowned::BySidecar(process)));
+                .push(call.close(id, ClosedBy::Sidecar(process)));
         }
     }
 
--- a/crates/state/tests/testsuite/support.rs
+++ b/crates/state/tests/testsuite/support.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_state::prelude::*;
-use coltsfootnotch_state::{Close, Disowned, LedgerReply, Record, RecordedBody, Settle};
+use coltsfootnotch_state::{Close, ClosedBy, LedgerReply, LedgerWrite, RecordedBody, Resolve};
 use coltsfootnotch_types::{AccountName, HostName, Incarnation};
 use proptest::test_runner::{Config, RngSeed};
 
@@ -111,18 +111,18 @@
     }
 
     pub(crate) fn outcome(&self, attempt: AttemptId, outcome: Outcome) -> LedgerOp {
-        self.write(Record::Outcome(attempt, outcome))
+        self.write(LedgerWrite::Outcome(attempt, outcome))
     }
 
-    pub(crate) fn close(&self, attempt: AttemptId, by: Disowned) -> LedgerOp {
-        self.write(Record::Close(Close { attempt, by }))
+    pub(crate) fn close(&self, attempt: AttemptId, by: ClosedBy) -> LedgerOp {
+        self.write(LedgerWrite::Close(Close { attempt, by }))
     }
 
     pub(crate) fn resolve(&self, attempt: AttemptId, outcome: Outcome) -> LedgerOp {
-        self.write(Record::Settle(Settle { attempt, outcome }))
+        self.write(LedgerWrite::Resolve(Resolve { attempt, outcome }))
     }
 
-    fn write(&self, write: Record) -> LedgerOp {
+    fn write(&self, write: LedgerWrite) -> LedgerOp {
         LedgerOp {
             account: self.account.clone(),
             key: self.key.digest,
--- a/src/coltsfootnotch/daemon/control/seeded/upkeep.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/upkeep.rs
@@ -202,7 +202,13 @@
             digest,
             body,
         };
-        if self.replica.machine().config().known(&req).is_some() {
+        if self
+            .replica
+            .machine()
+            .config()
+            .decided_reply(&req)
+            .is_some()
+        {
             // Accepted before, or overtaken by what was: either is committed.
             let _caller_waits = tx.send(CallReply::Done);
             return;
--- a/src/coltsfootnotch/daemon/entry/bookings.rs
+++ b/src/coltsfootnotch/daemon/entry/bookings.rs
@@ -1,8 +1,8 @@
 //! The writes of the ledger that an entry makes for a call that may not be repeated.
 
 use coltsfootnotch_state::{
-    AttemptId as LedgerAttempt, Close, Disowned, LedgerOp, Outcome, ProcessId, Record,
-    RecordedBody, Settle,
+    AttemptId as LedgerAttempt, Close, ClosedBy, LedgerOp, LedgerWrite, Outcome, ProcessId,
+    RecordedBody, Resolve,
 };
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::AttemptId;
@@ -50,7 +50,7 @@
     account: &AccountName,
     key: &BookingKey,
     attempt: AttemptId,
-    by: Disowned,
+    by: ClosedBy,
 ) -> LedgerOp {
     let close = Close {
         attempt: ledger_attempt(attempt),
@@ -59,7 +59,7 @@
     LedgerOp {
         account: account.clone(),
         key: key.key.digest,
-        write: Record::Close(close),
+        write: LedgerWrite::Close(close),
     }
 }
 
@@ -70,14 +70,14 @@
     attempt: AttemptId,
     found: &Collected,
 ) -> LedgerOp {
-    let settle = Settle {
+    let settle = Resolve {
         attempt: ledger_attempt(attempt),
         outcome: outcome_of(found),
     };
     LedgerOp {
         account: account.clone(),
         key: key.key.digest,
-        write: Record::Settle(settle),
+        write: LedgerWrite::Resolve(settle),
     }
 }
 
@@ -98,7 +98,7 @@
     attempt: AttemptId,
     answer: &Collected,
 ) -> LedgerOp {
-    let write = Record::Outcome(ledger_attempt(attempt), outcome_of(answer));
+    let write = LedgerWrite::Outcome(ledger_attempt(attempt), outcome_of(answer));
     LedgerOp {
         account: account.clone(),
         key: key.key.digest,
--- a/src/coltsfootnotch/daemon/entry/doubts.rs
+++ b/src/coltsfootnotch/daemon/entry/doubts.rs
@@ -10,7 +10,7 @@
 
 use coltsfootnotch_chart::RequestEvent;
 use coltsfootnotch_manifest::Reread;
-use coltsfootnotch_state::{AttemptId as LedgerAttempt, Disowned, ProcessId};
+use coltsfootnotch_state::{AttemptId as LedgerAttempt, ClosedBy, ProcessId};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, Call, ToSidecar};
 use sha2::{Digest, Sha256};
@@ -88,7 +88,7 @@
         let Some(key) = &in_progress.arrival.booking else {
             return;
         };
-        let by = Disowned::BySidecar(settling.sidecar.clone());
+        let by = ClosedBy::Sidecar(settling.sidecar.clone());
         let op = bookings::close(&in_progress.arrival.account, key, settling.earlier, by);
         let now = self.cx.now();
         if self
--- a/src/coltsfootnotch/daemon/entry/ledger_answers.rs
+++ b/src/coltsfootnotch/daemon/entry/ledger_answers.rs
@@ -1,7 +1,7 @@
 //! What follows when the ledger answers, or does not.
 
 use coltsfootnotch_chart::RequestEvent;
-use coltsfootnotch_state::{Disowned, LedgerReply};
+use coltsfootnotch_state::{ClosedBy, LedgerReply};
 use coltsfootnotch_wire::ProposeError;
 
 use super::actor::EntryActor;
@@ -28,7 +28,7 @@
                 self.after_outcome(request, recorded);
             }
             Purpose::Settle => {
-                let settled = matches!(answered.reply, Ok(LedgerReply::Settled));
+                let settled = matches!(answered.reply, Ok(LedgerReply::Resolved));
                 self.after_outcome(request, settled);
             }
         }
@@ -83,7 +83,7 @@
             return;
         }
         if let Some(key) = &arrival.booking {
-            let by = Disowned::ByEntry(self.cx.identity.incarnation);
+            let by = ClosedBy::Entry(self.cx.identity.incarnation);
             let op = bookings::close(&arrival.account, key, chosen.attempt, by);
             let now = self.cx.now();
             self.proposals
--- a/src/coltsfootnotch/daemon/entry/outcomes.rs
+++ b/src/coltsfootnotch/daemon/entry/outcomes.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use coltsfootnotch_chart::RequestEvent;
 use coltsfootnotch_decide::retry::{Attempt, may_retry};
-use coltsfootnotch_state::{Disowned, Outcome, ProcessId, RecordedBody};
+use coltsfootnotch_state::{ClosedBy, Outcome, ProcessId, RecordedBody};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{
     AttemptId, Begin, BeginCause, FailReason, NotStartedReason, Run, ToSidecar, Usage,
@@ -192,8 +192,8 @@
             return self.wait_again(request, chosen.waiting);
         };
         let by = match end {
-            AttemptEnd::NotSent => Disowned::ByEntry(self.cx.identity.incarnation),
-            _ => Disowned::BySidecar(ProcessId {
+            AttemptEnd::NotSent => ClosedBy::Entry(self.cx.identity.incarnation),
+            _ => ClosedBy::Sidecar(ProcessId {
                 host: chosen.host.clone(),
                 incarnation: chosen.sidecar,
             }),
--- a/src/coltsfootnotch/daemon/sidecar/orders/engine.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/engine.rs
@@ -121,7 +121,7 @@
         };
         let is_fenced = self.checks_numbers && cx.model.fenced;
         let timing = Timing::new(cx.store, load_of(cx.model, &action), is_fenced);
-        let loads = action.fetches().is_some();
+        let loads = action.fetched_weights().is_some();
         if loads && self.is_settled() && !self.has_permit(cx, &timing, leases) {
             leases.give_up(&self.lease);
             return None;
@@ -179,7 +179,7 @@
             .done
             .iter()
             .filter(|(at, _)| self.heard < *at + REPORT_LAG);
-        unreported.for_each(|(_, action)| action.carry_out(&mut has));
+        unreported.for_each(|(_, action)| action.apply_to(&mut has));
         has
     }
 
--- a/src/coltsfootnotch/daemon/sidecar/orders/lease_set.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/lease_set.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_state::{
-    DriftBound, FencingNumber, Grant, Guard, LeaseHolder, LeaseReply, Op, ProcessId, Release,
+    DriftBound, FencingMode, FencingNumber, Grant, LeaseHolder, LeaseReply, Op, ProcessId, Release,
     Renew, Reply,
 };
 use coltsfootnotch_types::LeaseName;
@@ -71,7 +71,7 @@
         };
         entry.is_wanted = false;
         entry.is_refused = false;
-        if let Some(number) = entry.holder.give_up() {
+        if let Some(number) = entry.holder.start_release() {
             entry.releasing = Some(number);
             entry.asked = None;
         }
@@ -83,9 +83,9 @@
     }
 
     /// Whether an order may be sent under a lease to an engine protected by `guard`.
-    pub(super) fn may_order(&self, lease: &LeaseName, now: Duration, guard: Guard) -> bool {
+    pub(super) fn may_order(&self, lease: &LeaseName, now: Duration, guard: FencingMode) -> bool {
         let entry = self.leases.get(lease);
-        entry.is_some_and(|entry| entry.holder.may_order(now, guard))
+        entry.is_some_and(|entry| entry.holder.can_order(now, guard))
     }
 
     /// Whether someone else was said to hold a lease when it was last asked for.
@@ -164,7 +164,7 @@
         entry.holder.on_reply(request.sent, now, reply);
         // It was granted after it had been given up: unreleased it would keep others out.
         if !entry.is_wanted
-            && let Some(number) = entry.holder.give_up()
+            && let Some(number) = entry.holder.start_release()
         {
             entry.releasing = Some(number);
         }
--- a/src/coltsfootnotch/daemon/sidecar/orders/timing.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/timing.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_manifest::WeightStore;
-use coltsfootnotch_state::Guard;
+use coltsfootnotch_state::FencingMode;
 
 /// What an order takes besides its load.
 const ORDER_OVERHEAD: Duration = Duration::from_secs(5);
@@ -86,10 +86,10 @@
     }
 
     /// How the engine is protected from an earlier holder.
-    pub(super) fn guard(&self, is_fenced: bool) -> Guard {
+    pub(super) fn guard(&self, is_fenced: bool) -> FencingMode {
         match is_fenced {
-            true => Guard::Numbers,
-            false => Guard::Wait {
+            true => FencingMode::Numbers,
+            false => FencingMode::Wait {
                 order_timeout: self.timeout,
             },
         }
--- a/tests/testsuite/control/load.rs
+++ b/tests/testsuite/control/load.rs
@@ -9,7 +9,7 @@
 use coltsfootnotch_fabric::LinkId;
 use coltsfootnotch_manifest::{Manifest, ManifestDelta};
 use coltsfootnotch_state::{
-    AttemptId, Close, Disowned, KeyDigest, LedgerOp, LedgerReply, LogTime, Op, Record, Reply,
+    AttemptId, Close, ClosedBy, KeyDigest, LedgerOp, LedgerReply, LedgerWrite, LogTime, Op, Reply,
 };
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{ConfigBody, FromRelay, ProposeError};
@@ -23,16 +23,16 @@
     LedgerOp {
         account: AccountName::new("bistro").expect("a name"),
         key: KeyDigest::of(&number.to_string()),
-        write: Record::Close(Close {
+        write: LedgerWrite::Close(Close {
             attempt: AttemptId { entry, number },
-            by: Disowned::ByEntry(entry),
+            by: ClosedBy::Entry(entry),
         }),
     }
 }
 
 /// A reply by which the write that it answers can be told.
 fn reply_to(op: &LedgerOp) -> LedgerReply {
-    let Record::Close(close) = &op.write else {
+    let LedgerWrite::Close(close) = &op.write else {
         panic!("only closes are written here");
     };
     LedgerReply::InDoubt {
