--- a/crates/state/src/finished_orders.rs
+++ b/crates/state/src/finished_orders.rs
@@ -79,8 +79,8 @@
         if *incarnation != reported.incarnation {
             return placement;
         }
-        let fresh = done.iter().filter(|f| at.since(f.at) < lag);
-        fresh.for_each(|f| f.action.apply_to(&mut placement));
+        let recent = done.iter().filter(|f| at.since(f.at) < lag);
+        recent.for_each(|f| f.action.apply_to(&mut placement));
         placement
     }
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -8,7 +8,7 @@
 //! [`LeaderClock`]).
 //!
 //! Input that violates the protocol, such as the outcome of a closed attempt, is refused and
-//! counted. It never panics, since every member would panic again after each restart.
+//! counted. It never causes a panic, since every member would panic again after each restart.
 //! `assert!` checks invariants of this crate only.
 
 mod clock;
