--- a/crates/membership/examples/sizes.rs
+++ b/crates/membership/examples/sizes.rs
@@ -49,7 +49,7 @@
     let is_entry = n.is_multiple_of(4);
     let mut serves = Vec::new();
     for upstream in (0..2).filter(|_| !is_entry) {
-        serves.push(Served {
+        serves.push(ServedUpstream {
             pool: PoolName::new(format!("model-{:02}", (n * 2 + upstream) % POOLS))?,
             upstream: UpstreamName::new(format!("engine-{n:04}-{upstream}"))?,
             slots: 16,
@@ -92,7 +92,7 @@
             beats: (0..hosts).map(heartbeat).collect::<Result<_, _>>()?,
         };
         for (n, hb) in fleet.beats.iter().enumerate() {
-            fleet.registries[n % DOMAINS].heartbeat(Duration::ZERO, hb);
+            fleet.registries[n % DOMAINS].on_heartbeat(Duration::ZERO, hb);
         }
         for registry in &fleet.registries {
             fleet
@@ -126,7 +126,7 @@
     let summary = fleet.registries[0].delta_since(0);
     let before = fleet.registries[0].summary().version();
     let lost = fleet.beats[6].clone();
-    fleet.registries[0].leave(&lost.host, lost.incarnation);
+    fleet.registries[0].mark_left(&lost.host, lost.incarnation);
     let gone = fleet.registries[0].delta_since(before);
     fleet.directory.merge(now, &gone);
     let removed = feed.next(now, &fleet.directory);
@@ -166,7 +166,7 @@
         let mut feed = SumsFeed::default();
         let waits = |a: &&AccountName| a.as_str().bytes().map(usize::from).sum::<usize>() + n;
         let backlogged = names[..size.backlogged].iter();
-        feed.ask(backlogged.filter(|a| waits(a) * 7 % POOLS < 4));
+        feed.subscribe(backlogged.filter(|a| waits(a) * 7 % POOLS < 4));
         let host = HostName::new(format!("host-{n:04}"))?;
         let batches = ServiceBatches::new(host, Incarnation(*n as u64 | 1 << 60));
         let slots: Vec<_> = (0..2 * SLOTS)
@@ -185,12 +185,12 @@
             }
             if let Some(batch) = batches.next() {
                 up += bytes(batch);
-                let ack = relays[*domain].take(batch);
+                let ack = relays[*domain].apply_batch(batch);
                 batches.on_ack(ack);
             }
         }
         for from in 0..DOMAINS {
-            let known = relays[(from + 1) % DOMAINS].known(&relay(from)?);
+            let known = relays[(from + 1) % DOMAINS].known_version(&relay(from)?);
             let Some(delta) = relays[from].delta_since(known) else {
                 continue;
             };
--- a/crates/membership/src/contact.rs
+++ b/crates/membership/src/contact.rs
@@ -5,7 +5,7 @@
 use coltsfootnotch_types::{DomainName, HostName, Incarnation, Role};
 use serde::{Deserialize, Serialize};
 
-use crate::{HostRecord, Presence, Served};
+use crate::{HostRecord, Presence, ServedUpstream};
 
 /// A host that another may connect to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,13 +23,13 @@
     /// Where to reach it.
     pub addresses: Vec<SocketAddr>,
     /// For a sidecar: its upstreams.
-    pub serves: Vec<Served>,
+    pub serves: Vec<ServedUpstream>,
 }
 
 impl Contact {
     /// The contact of a host that takes part; `None` for one that is gone.
     #[must_use]
-    pub fn of(record: &HostRecord) -> Option<Self> {
+    pub fn from_record(record: &HostRecord) -> Option<Self> {
         let profile = record.profile.as_ref()?;
         (record.presence != Presence::Gone).then(|| Self {
             host: record.host.clone(),
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -71,7 +71,7 @@
 
     /// The version of a relay's summary that is known here completely, to ask it for what follows.
     #[must_use]
-    pub fn known(&self, relay: &RelayId) -> u64 {
+    pub fn known_version(&self, relay: &RelayId) -> u64 {
         match self.sources.get(&relay.host) {
             Some(s) if s.epoch == relay.epoch => s.summary.version(),
             _ => 0,
@@ -114,7 +114,7 @@
     }
 
     /// Forgets the summary of a relay that will not come back, since its control host was replaced.
-    pub fn forget_relay(&mut self, host: &HostName) {
+    pub fn remove_relay(&mut self, host: &HostName) {
         if *host != self.me.host {
             self.sources.remove(host);
             self.resolve();
@@ -161,7 +161,7 @@
 
     /// The hosts that take part and do not have the configuration `number` in force yet.
     #[must_use]
-    pub fn behind(&self, number: u64) -> Vec<HostName> {
+    pub fn hosts_behind(&self, number: u64) -> Vec<HostName> {
         self.hosts()
             .filter(|r| r.presence != Presence::Gone && r.config < number)
             .filter(|r| r.profile.as_ref().is_some_and(|p| p.role != Role::Operator))
--- a/crates/membership/src/feed.rs
+++ b/crates/membership/src/feed.rs
@@ -74,7 +74,7 @@
         let remote = remote.filter_map(|h| directory.get(h));
         let near = directory.hosts().filter(|r| self.is_near(r));
         near.chain(remote)
-            .filter_map(Contact::of)
+            .filter_map(Contact::from_record)
             .map(|c| (c.host.clone(), c))
             .collect()
     }
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -33,8 +33,8 @@
 /// What the relay answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeartbeatReply {
-    /// Heard; the registration is valid for the silence time from the sending of `seq`.
-    Heard {
+    /// Accepted; the registration is valid for the silence time from the sending of `seq`.
+    Accepted {
         /// The heartbeat that is answered.
         seq: u64,
         /// The run of the relay.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -38,7 +38,7 @@
 pub use heartbeat::{Heartbeat, HeartbeatReply};
 pub use link::{HostLink, LinkAction};
 pub use member::{MemberEvent, MemberEventKind};
-pub use profile::{Profile, Served};
+pub use profile::{Profile, ServedUpstream};
 pub use record::{HostRecord, Presence};
 pub use registry::{Registry, RegistryCounters};
 pub use relay::{Epoch, RelayId};
@@ -54,6 +54,6 @@
 pub mod prelude {
     pub use crate::{
         Contact, Directory, Heartbeat, HeartbeatReply, HostLink, Profile, Registry, RelayId,
-        RelaySums, Served, Timing, View,
+        RelaySums, ServedUpstream, Timing, View,
     };
 }
--- a/crates/membership/src/link.rs
+++ b/crates/membership/src/link.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LinkAction {
     /// Connect to this relay in place of the one before; the heartbeats that follow go to it.
-    TurnTo(RelayAddress),
+    ConnectTo(RelayAddress),
     /// Send a heartbeat to the relay that the host has turned to.
     Heartbeat(Heartbeat),
     /// Send the relay an empty question that it answers at once, to see whether it is back.
@@ -57,7 +57,7 @@
 /// let me = HostName::new("entry-1")?;
 /// let mut link = HostLink::new(me, Incarnation(7), 0, profile, vec![relay], Timing::DEFAULT, now);
 /// let actions = link.poll(now);
-/// assert!(matches!(actions[..], [LinkAction::TurnTo(_), LinkAction::Heartbeat(_)]));
+/// assert!(matches!(actions[..], [LinkAction::ConnectTo(_), LinkAction::Heartbeat(_)]));
 /// assert_eq!(link.next_poll(), now + Timing::DEFAULT.heartbeat);
 /// # Ok::<(), coltsfootnotch_types::NameError>(())
 /// ```
@@ -113,7 +113,7 @@
             sendings: VecDeque::new(),
             registered_until: None,
             home: Home {
-                wait: timing.home_after,
+                wait: timing.failback_after,
                 since: now,
                 answered: 0,
                 asked: false,
@@ -173,7 +173,7 @@
         let mut actions = Vec::new();
         if let Some(to) = self.turn(now) {
             self.turn_to(to, now);
-            actions.push(LinkAction::TurnTo(self.relays[to].clone()));
+            actions.push(LinkAction::ConnectTo(self.relays[to].clone()));
         }
         if self.current.is_none() || now < self.beat_at {
             return actions;
@@ -204,8 +204,8 @@
             let stayed = now.saturating_sub(self.home.since);
             let is_flapping = stayed < self.home.wait * 4;
             self.home.wait = match is_flapping {
-                true => (self.home.wait * 2).min(self.timing.max_home_after),
-                false => self.timing.home_after,
+                true => (self.home.wait * 2).min(self.timing.max_failback_after),
+                false => self.timing.failback_after,
             };
         }
         if to == 0 || self.current == Some(0) {
@@ -265,7 +265,7 @@
         }
         match reply {
             HeartbeatReply::Replaced => self.replaced = true,
-            HeartbeatReply::Heard {
+            HeartbeatReply::Accepted {
                 seq,
                 profile_version,
                 ..
--- a/crates/membership/src/profile.rs
+++ b/crates/membership/src/profile.rs
@@ -17,12 +17,12 @@
     /// Where other processes of the fleet reach it.
     pub addresses: Vec<SocketAddr>,
     /// For a sidecar: its upstreams.
-    pub serves: Vec<Served>,
+    pub serves: Vec<ServedUpstream>,
 }
 
 /// One upstream beside a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Served {
+pub struct ServedUpstream {
     /// The pool.
     pub pool: PoolName,
     /// The upstream.
--- a/crates/membership/src/registry.rs
+++ b/crates/membership/src/registry.rs
@@ -77,7 +77,7 @@
     }
 
     /// Takes a heartbeat received at `now`.
-    pub fn heartbeat(&mut self, now: Duration, hb: &Heartbeat) -> HeartbeatReply {
+    pub fn on_heartbeat(&mut self, now: Duration, hb: &Heartbeat) -> HeartbeatReply {
         if self.is_retired(&hb.host, hb.incarnation) {
             self.counters.refused += 1;
             return HeartbeatReply::Replaced;
@@ -91,7 +91,7 @@
         let change = member.hear(now, hb);
         let profile_version = member.profile_version;
         self.note(&hb.host, change);
-        HeartbeatReply::Heard {
+        HeartbeatReply::Accepted {
             seq: hb.seq,
             epoch: self.me.epoch,
             profile_version,
@@ -99,7 +99,7 @@
     }
 
     /// Notes that a run of a host has ended as planned.
-    pub fn leave(&mut self, host: &HostName, incarnation: Incarnation) {
+    pub fn mark_left(&mut self, host: &HostName, incarnation: Incarnation) {
         let Some(member) = self.members.get_mut(host) else {
             return;
         };
--- a/crates/membership/src/sums.rs
+++ b/crates/membership/src/sums.rs
@@ -50,7 +50,7 @@
 /// let mut batches = ServiceBatches::new(HostName::new("sidecar-1")?, Incarnation(7));
 /// batches.add(&bistro, ServiceUnits(30));
 /// let mut here = RelaySums::new(relay("control-1")?);
-/// here.take(batches.next().unwrap());
+/// here.apply_batch(batches.next().unwrap());
 /// let mut there = RelaySums::new(relay("control-2")?);
 /// there.merge(&here.delta_since(0).unwrap());
 /// assert_eq!(there.total(&bistro), ServiceUnits(30));
@@ -81,7 +81,7 @@
     /// Adds a batch of a host, once; returns the number to acknowledge.
     ///
     /// Numbers may skip: the batches between went to another relay.
-    pub fn take(&mut self, batch: &ServiceBatch) -> u64 {
+    pub fn apply_batch(&mut self, batch: &ServiceBatch) -> u64 {
         let run = (batch.host.clone(), batch.incarnation);
         let last = self.taken.entry(run).or_insert(0);
         if batch.seq <= *last {
@@ -100,7 +100,7 @@
     }
 
     /// Forgets which batches of a run were taken, once no more can come.
-    pub fn forget(&mut self, host: &HostName, incarnation: Incarnation) {
+    pub fn remove_run(&mut self, host: &HostName, incarnation: Incarnation) {
         self.taken.remove(&(host.clone(), incarnation));
     }
 
@@ -115,7 +115,7 @@
     /// Everything known of the runs of the relay `host`. Sent to a relay when it connects: after a
     /// restart it has lost its own earlier sums as well.
     #[must_use]
-    pub fn all_of(&self, host: &HostName) -> Vec<SumsDelta> {
+    pub fn full_deltas(&self, host: &HostName) -> Vec<SumsDelta> {
         let runs = self.runs.get(host).into_iter().flatten();
         runs.map(|(epoch, component)| {
             let (host, epoch) = (host.clone(), *epoch);
@@ -126,7 +126,7 @@
 
     /// The version of a relay's sums that is known here completely.
     #[must_use]
-    pub fn known(&self, relay: &RelayId) -> u64 {
+    pub fn known_version(&self, relay: &RelayId) -> u64 {
         let runs = self.runs.get(&relay.host);
         let component = runs.and_then(|r| r.get(&relay.epoch));
         component.map_or(0, |c| c.version)
--- a/crates/membership/src/sums_feed.rs
+++ b/crates/membership/src/sums_feed.rs
@@ -16,7 +16,7 @@
 
 impl SumsFeed {
     /// Adds accounts to those asked for.
-    pub fn ask<'a>(&mut self, accounts: impl IntoIterator<Item = &'a AccountName>) {
+    pub fn subscribe<'a>(&mut self, accounts: impl IntoIterator<Item = &'a AccountName>) {
         for account in accounts {
             if !self.told.contains_key(account) {
                 self.untold.insert(account.clone());
@@ -25,7 +25,7 @@
     }
 
     /// Takes accounts away.
-    pub fn drop<'a>(&mut self, accounts: impl IntoIterator<Item = &'a AccountName>) {
+    pub fn unsubscribe<'a>(&mut self, accounts: impl IntoIterator<Item = &'a AccountName>) {
         for account in accounts {
             self.told.remove(account);
             self.untold.remove(account);
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -19,10 +19,10 @@
     /// Silence of a relay after which a host turns to another.
     pub relay_silent_after: Duration,
     /// How long a host stays with another relay before it looks for its own again; doubled each time
-    /// it has to leave again, up to `max_home_after`.
-    pub home_after: Duration,
+    /// it has to leave again, up to `max_failback_after`.
+    pub failback_after: Duration,
     /// The longest such time.
-    pub max_home_after: Duration,
+    pub max_failback_after: Duration,
 }
 
 impl Timing {
@@ -32,8 +32,8 @@
         suspect_after: Duration::from_millis(1_500),
         silent_after: Duration::from_millis(2_500),
         relay_silent_after: Duration::from_millis(2_000),
-        home_after: Duration::from_secs(10),
-        max_home_after: Duration::from_secs(300),
+        failback_after: Duration::from_secs(10),
+        max_failback_after: Duration::from_secs(300),
     };
 }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -25,10 +25,10 @@
 
 /// A delta that does not continue the view; ask the relay for the whole view.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("a view at version {have} got a delta from version {from}")]
+#[display("a view at version {current} got a delta from version {from}")]
 pub struct ViewGap {
     /// The version at hand.
-    pub have: u64,
+    pub current: u64,
     /// The version that the delta starts from.
     pub from: u64,
 }
@@ -57,8 +57,8 @@
     /// Returns a [`ViewGap`] when a delta before this one was lost; the view is then unchanged.
     pub fn apply(&mut self, delta: ViewDelta) -> Result<Vec<HostName>, ViewGap> {
         if delta.from != 0 && delta.from != self.version {
-            let (have, from) = (self.version, delta.from);
-            return Err(ViewGap { have, from });
+            let (current, from) = (self.version, delta.from);
+            return Err(ViewGap { current, from });
         }
         let mut removed = delta.removed;
         if delta.from == 0 && delta.settled {
--- a/crates/membership/tests/testsuite/directory_runs.rs
+++ b/crates/membership/tests/testsuite/directory_runs.rs
@@ -45,14 +45,14 @@
                 seqs[host] += 1;
                 let mut hb = beat(&format!("a-{host}"), run, seqs[host]);
                 hb.attach = u32::try_from(relay).expect("two relays");
-                relays[relay].heartbeat(now, &hb);
+                relays[relay].on_heartbeat(now, &hb);
             }
             Step::Leave {
                 relay,
                 host: n,
                 run,
             } => {
-                relays[relay].leave(
+                relays[relay].mark_left(
                     &host(&format!("a-{n}")),
                     coltsfootnotch_types::Incarnation(run),
                 );
--- a/crates/membership/tests/testsuite/growth.rs
+++ b/crates/membership/tests/testsuite/growth.rs
@@ -28,7 +28,7 @@
                 &[]
             };
             hb.profile = Some(profile(role, &domain, pools));
-            registry.heartbeat(millis(0), &hb);
+            registry.on_heartbeat(millis(0), &hb);
         }
         directory.merge(millis(0), &registry.delta_since(0));
     }
--- a/crates/membership/tests/testsuite/net.rs
+++ b/crates/membership/tests/testsuite/net.rs
@@ -126,13 +126,13 @@
                 };
                 let (me, it) = (host.name.as_str(), to.host.as_str());
                 match action {
-                    LinkAction::TurnTo(_) => {
+                    LinkAction::ConnectTo(_) => {
                         self.relays.iter_mut().for_each(|r| {
                             r.feeds.remove(&host.name);
                         });
                     }
                     LinkAction::Heartbeat(hb) if !lost(me, it) => {
-                        let reply = relay.registry.heartbeat(now, &hb);
+                        let reply = relay.registry.on_heartbeat(now, &hb);
                         let role = match me.starts_with("entry") {
                             true => Role::Entry,
                             false => Role::Sidecar,
@@ -172,7 +172,7 @@
                 if !self.relays[m].up || is_lost {
                     continue;
                 }
-                let known = self.relays[m].directory.known(&from);
+                let known = self.relays[m].directory.known_version(&from);
                 let delta = self.relays[n].registry.delta_since(known);
                 self.relays[m].directory.merge(now, &delta);
                 self.relays[m].directory.purge(now);
--- a/crates/membership/tests/testsuite/registry_runs.rs
+++ b/crates/membership/tests/testsuite/registry_runs.rs
@@ -51,7 +51,7 @@
         let mut all = all.into_iter().peekable();
         for tick in (0..end).step_by(TICK as usize) {
             while let Some((at, hb)) = all.next_if(|(at, _)| *at <= tick) {
-                registry.heartbeat(millis(at), &hb);
+                registry.on_heartbeat(millis(at), &hb);
                 let order = (hb.incarnation.0, hb.seq);
                 if order > latest {
                     latest = order;
--- a/crates/membership/tests/testsuite/silence.rs
+++ b/crates/membership/tests/testsuite/silence.rs
@@ -93,9 +93,9 @@
     expect_that!(seen.incarnation.0, eq(2));
 
     let mut registry = Registry::new(relay("control-0", 1), Timing::DEFAULT, millis(0));
-    registry.heartbeat(millis(10), &beat("a", 1, 1));
-    registry.heartbeat(millis(20), &beat("a", 2, 1));
-    let late = registry.heartbeat(millis(30), &beat("a", 1, 2));
+    registry.on_heartbeat(millis(10), &beat("a", 1, 1));
+    registry.on_heartbeat(millis(20), &beat("a", 2, 1));
+    let late = registry.on_heartbeat(millis(30), &beat("a", 1, 2));
     expect_that!(late, eq(HeartbeatReply::Replaced));
     let record = registry.summary().get(&host("a")).expect("it is listed");
     expect_that!(record.incarnation.0, eq(2));
@@ -124,7 +124,7 @@
         .get(&host("a-0"))
         .expect("listed")
         .incarnation;
-    net.relays[0].registry.leave(&host("a-0"), run);
+    net.relays[0].registry.mark_left(&host("a-0"), run);
     net.run(millis(500), |_, _| false, |_| {});
     expect_that!(net.hosts[0].view.get(&host("a-0")), none());
     net.hosts[n] = start_host("a-0", 2, 0, net.now);
@@ -196,7 +196,7 @@
         seq += 1;
         let mut hb = beat("a", 1, seq);
         hb.attach = attach;
-        registry.heartbeat(millis(at), &hb);
+        registry.on_heartbeat(millis(at), &hb);
     };
     for at in [0, 5_000, 10_000] {
         send(&mut home, at, 1);
@@ -221,13 +221,13 @@
     // Nothing changes in a failure domain for a day, so its relay sends no delta. Others must not take
     // that for the loss of every host there.
     let mut registry = Registry::new(relay("control-1", 1), Timing::DEFAULT, millis(0));
-    registry.heartbeat(millis(0), &beat("a", 1, 1));
+    registry.on_heartbeat(millis(0), &beat("a", 1, 1));
     let mut directory = Directory::new(relay("control-0", 1), &Timing::DEFAULT, millis(0));
     directory.merge(millis(0), &registry.delta_since(0));
     directory.purge(millis(24 * 3_600_000));
     let seen = directory.get(&host("a")).map(|r| r.presence);
     expect_that!(seen, some(eq(Presence::Present)));
-    directory.forget_relay(&host("control-1"));
+    directory.remove_relay(&host("control-1"));
     expect_that!(directory.get(&host("a")), none());
 }
 
@@ -237,9 +237,9 @@
     // late.
     let me = relay("control-0", 1);
     let mut registry = Registry::new(me.clone(), Timing::DEFAULT, millis(0));
-    registry.heartbeat(millis(0), &beat("a", 1, 1));
+    registry.on_heartbeat(millis(0), &beat("a", 1, 1));
     let old = registry.delta_since(0);
-    registry.leave(&host("a"), beat("a", 1, 1).incarnation);
+    registry.mark_left(&host("a"), beat("a", 1, 1).incarnation);
     let mut directory = Directory::new(me, &Timing::DEFAULT, millis(0));
     directory.merge(millis(0), &registry.delta_since(0));
     let day = millis(24 * 3_600_000);
--- a/crates/membership/tests/testsuite/sums_runs.rs
+++ b/crates/membership/tests/testsuite/sums_runs.rs
@@ -73,7 +73,7 @@
             relay: 0,
         };
         let mut feed = SumsFeed::default();
-        feed.ask(&(0..3).map(name).collect::<Vec<_>>());
+        feed.subscribe(&(0..3).map(name).collect::<Vec<_>>());
         Self {
             hosts: (0..3).map(host).collect(),
             relays: (0..2)
@@ -107,7 +107,7 @@
             // A copy of a batch arrives late, at the relay that it was sent to.
             Step::Replay { at } => {
                 if let Some((relay, batch)) = self.sent.get(at % self.sent.len().max(1)) {
-                    self.relays[*relay].take(batch);
+                    self.relays[*relay].apply_batch(batch);
                 }
             }
             Step::Move { host } => self.turn(host),
@@ -129,7 +129,7 @@
         };
         self.sent.push((host.relay, batch.clone()));
         if !lose {
-            let ack = self.relays[host.relay].take(batch);
+            let ack = self.relays[host.relay].apply_batch(batch);
             if !lose_ack {
                 host.batches.on_ack(ack);
             }
@@ -147,7 +147,7 @@
 
     fn exchange(&mut self, from: usize, lose: bool) {
         let me = relay(&format!("control-{from}"), 1);
-        let known = self.relays[1 - from].known(&me);
+        let known = self.relays[1 - from].known_version(&me);
         if let Some(delta) = self.relays[from].delta_since(known)
             && !lose
         {
@@ -206,11 +206,11 @@
     let mut other = RelaySums::new(relay("control-1", 1));
     for epoch in 1..80 {
         let mut sums = RelaySums::new(relay("control-0", epoch));
-        for delta in other.all_of(&host("control-0")) {
+        for delta in other.full_deltas(&host("control-0")) {
             sums.merge(&delta);
         }
         batches.add(&bistro, ServiceUnits(10));
-        let ack = sums.take(batches.next().expect("a batch"));
+        let ack = sums.apply_batch(batches.next().expect("a batch"));
         batches.on_ack(ack);
         other.merge(&sums.delta_since(0).expect("a change"));
         expect_that!(other.total(&bistro), eq(ServiceUnits(10 * epoch)));
@@ -224,14 +224,14 @@
     let mut batches = ServiceBatches::new(host("sidecar-1"), Incarnation(1));
     batches.add(&bistro, ServiceUnits(10));
     batches.add(&chain, ServiceUnits(90));
-    sums.take(batches.next().expect("a batch"));
+    sums.apply_batch(batches.next().expect("a batch"));
     let mut feed = SumsFeed::default();
-    feed.ask([&bistro]);
+    feed.subscribe([&bistro]);
     expect_that!(
         feed.next(&sums),
         elements_are![eq(&(bistro.clone(), ServiceUnits(10)))]
     );
     expect_that!(feed.next(&sums), is_empty());
-    feed.drop([&bistro]);
+    feed.unsubscribe([&bistro]);
     expect_that!(feed.next(&sums), is_empty());
 }
--- a/crates/membership/tests/testsuite/support.rs
+++ b/crates/membership/tests/testsuite/support.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use coltsfootnotch_membership::{Epoch, Heartbeat, Profile, RelayId, Served};
+use coltsfootnotch_membership::{Epoch, Heartbeat, Profile, RelayId, ServedUpstream};
 use coltsfootnotch_types::{
     AccountName, DomainName, HostName, Incarnation, PoolName, RegionName, Role, UpstreamName,
 };
@@ -42,7 +42,7 @@
 }
 
 pub(crate) fn profile(role: Role, domain: &str, pools: &[&str]) -> Profile {
-    let served = |pool: &&str| Served {
+    let served = |pool: &&str| ServedUpstream {
         pool: PoolName::new(pool).expect("a valid name"),
         upstream: UpstreamName::new(format!("{pool}-upstream")).expect("a valid name"),
         slots: 16,
--- a/src/coltsfootnotch/daemon/control/host_feed.rs
+++ b/src/coltsfootnotch/daemon/control/host_feed.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use coltsfootnotch_membership::{Contact, Directory, RelaySums, Served, SumsFeed, ViewFeed};
+use coltsfootnotch_membership::{
+    Contact, Directory, RelaySums, ServedUpstream, SumsFeed, ViewFeed,
+};
 use coltsfootnotch_membership::{Heartbeat as MemberHeartbeat, Profile};
 use coltsfootnotch_types::RegionName;
 use coltsfootnotch_types::prelude::*;
@@ -86,12 +88,12 @@
             self.watched.insert(account.clone(), *own);
         }
         self.sums
-            .ask(batch.watch.iter().map(|(account, _)| account));
+            .subscribe(batch.watch.iter().map(|(account, _)| account));
         for account in &batch.unwatch {
             self.watched.remove(account);
             self.told.remove(account);
         }
-        self.sums.drop(&batch.unwatch);
+        self.sums.unsubscribe(&batch.unwatch);
     }
 
     /// The hosts that are new, changed or gone for this host.
@@ -195,8 +197,8 @@
     }
 }
 
-fn served(pool: &ServedPool) -> Served {
-    Served {
+fn served(pool: &ServedPool) -> ServedUpstream {
+    ServedUpstream {
         pool: pool.pool.clone(),
         upstream: UpstreamName::new(pool.pool.as_str())
             .expect("every name is a name of an upstream"),
@@ -219,7 +221,7 @@
     })
 }
 
-fn served_pool(served: &Served) -> ServedPool {
+fn served_pool(served: &ServedUpstream) -> ServedPool {
     ServedPool {
         pool: served.pool.clone(),
         upstreams: served.slots,
--- a/src/coltsfootnotch/daemon/control/relay.rs
+++ b/src/coltsfootnotch/daemon/control/relay.rs
@@ -45,7 +45,7 @@
 
     /// Takes a heartbeat of a host; `false` when a later run of it has registered.
     pub(super) fn heartbeat(&mut self, now: Duration, heartbeat: &MemberHeartbeat) -> bool {
-        let reply = self.registry.heartbeat(now, heartbeat);
+        let reply = self.registry.on_heartbeat(now, heartbeat);
         let replaced = coltsfootnotch_membership::HeartbeatReply::Replaced;
         reply != replaced
     }
@@ -67,7 +67,7 @@
 
     /// Takes the service that a host reports.
     pub(super) fn serve(&mut self, host: &HostName, run: Incarnation, batch: &ServiceBatch) -> u64 {
-        self.sums.take(&MemberBatch {
+        self.sums.apply_batch(&MemberBatch {
             host: host.clone(),
             incarnation: run,
             seq: batch.seq,
@@ -108,7 +108,7 @@
                 event.kind,
                 MemberEventKind::Replaced | MemberEventKind::Left
             ) {
-                self.sums.forget(&event.host, event.incarnation);
+                self.sums.remove_run(&event.host, event.incarnation);
             }
         }
         events
--- a/src/coltsfootnotch/daemon/control/relay_feed.rs
+++ b/src/coltsfootnotch/daemon/control/relay_feed.rs
@@ -40,7 +40,7 @@
             sums: sums.delta_since(self.sums).into_iter().collect(),
         };
         if is_first {
-            packet.sums.extend(sums.all_of(peer));
+            packet.sums.extend(sums.full_deltas(peer));
         }
         if packet.hosts.is_none() && packet.sums.is_empty() {
             return None;
--- a/src/coltsfootnotch/daemon/control/status.rs
+++ b/src/coltsfootnotch/daemon/control/status.rs
@@ -126,7 +126,7 @@
 
 /// Live hosts that do not have the configuration `number` in force.
 fn behind(daemon: &ControlDaemon, number: u64) -> Vec<HostName> {
-    let mut behind = daemon.relay.directory.behind(number);
+    let mut behind = daemon.relay.directory.hosts_behind(number);
     behind.retain(|host| !daemon.is_lost_relay(host));
     behind
 }
