--- a/crates/membership/examples/sizes.rs
+++ b/crates/membership/examples/sizes.rs
@@ -1,7 +1,7 @@
-//! Prints the bytes of membership and of service sums at three sizes of the fleet.
+//! Prints the message sizes of membership and of service sums for three fleet sizes.
 //!
-//! Run with `cargo run --release -p coltsfootnotch-membership --example sizes`. Every figure is the
-//! length of encoded messages of this package, without the transport's own bytes.
+//! Run with `cargo run --release -p coltsfootnotch-membership --example sizes`. Sizes are
+//! those of the encoded messages of this package, without transport overhead.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 const SLOTS: usize = 16;
 const SECONDS: u64 = 10;
 
-/// One size of the fleet: hosts without the relays, of which one in four is an entry.
+/// One fleet size. `hosts` excludes relays; every fourth host is an entry.
 struct Size {
     hosts: usize,
     accounts: usize,
@@ -31,7 +31,7 @@
 struct Fleet {
     registries: Vec<Registry>,
     directory: Directory,
-    beats: Vec<Heartbeat>,
+    heartbeats: Vec<Heartbeat>,
 }
 
 fn bytes(message: &impl Serialize) -> usize {
@@ -89,9 +89,9 @@
         let mut fleet = Self {
             registries,
             directory: Directory::new(relay(0)?, &Timing::DEFAULT, Duration::ZERO),
-            beats: (0..hosts).map(heartbeat).collect::<Result<_, _>>()?,
+            heartbeats: (0..hosts).map(heartbeat).collect::<Result<_, _>>()?,
         };
-        for (n, hb) in fleet.beats.iter().enumerate() {
+        for (n, hb) in fleet.heartbeats.iter().enumerate() {
             fleet.registries[n % DOMAINS].on_heartbeat(Duration::ZERO, hb);
         }
         for registry in &fleet.registries {
@@ -103,7 +103,7 @@
     }
 
     fn feed(&self, n: usize) -> Result<ViewFeed, NameError> {
-        let hb = &self.beats[n];
+        let hb = &self.heartbeats[n];
         let role = if n.is_multiple_of(4) {
             Role::Entry
         } else {
@@ -119,38 +119,38 @@
     fleet.directory.set_remote_contacts(contacts);
     // Host 0 is an entry and host 6 a sidecar of the same failure domain.
     let mut feed = fleet.feed(0)?;
-    let whole = feed.next(now, &fleet.directory);
-    let known = whole.as_ref().map_or(0, |v| v.upserts.len());
+    let full = feed.next(now, &fleet.directory);
+    let in_entry = full.as_ref().map_or(0, |v| v.upserts.len());
     let sidecar = fleet.feed(6)?.next(now, &fleet.directory);
-    let entries = sidecar.as_ref().map_or(0, |v| v.upserts.len());
+    let in_sidecar = sidecar.as_ref().map_or(0, |v| v.upserts.len());
     let summary = fleet.registries[0].delta_since(0);
     let before = fleet.registries[0].summary().version();
-    let lost = fleet.beats[6].clone();
+    let lost = fleet.heartbeats[6].clone();
     fleet.registries[0].mark_left(&lost.host, lost.incarnation);
-    let gone = fleet.registries[0].delta_since(before);
-    fleet.directory.merge(now, &gone);
+    let removal = fleet.registries[0].delta_since(before);
+    fleet.directory.merge(now, &removal);
     let removed = feed.next(now, &fleet.directory);
     let known_profile = Heartbeat {
         profile: None,
         ..lost.clone()
     };
     println!(
-        "| {} | {contacts} | {} | {} | {} | {} | {} | {known} | {} | {entries} | {} |",
+        "| {} | {contacts} | {} | {} | {} | {} | {} | {in_entry} | {} | {in_sidecar} | {} |",
         size.hosts,
         bytes(&known_profile),
         bytes(&lost),
         bytes(&summary),
-        bytes(&gone),
-        bytes(&whole),
+        bytes(&removal),
+        bytes(&full),
         removed.as_ref().map_or(0, bytes),
         bytes(&sidecar),
     );
     Ok(())
 }
 
-/// Bytes a second of service sums: each sidecar has its slots busy with requests of backlogged
-/// accounts that last four seconds, and asks for the accounts that wait in its two pools, of which
-/// every account uses two.
+/// Prints the bytes per second of service sums. All slots of each sidecar run four-second requests
+/// of backlogged accounts, and it subscribes to the accounts that wait in its two pools; every
+/// account uses two pools.
 fn sums(size: &Size, interval: u64) -> Result<(), NameError> {
     let mut rng = StdRng::seed_from_u64(7);
     let names: Vec<_> = (0..size.accounts)
@@ -174,7 +174,7 @@
             .collect();
         hosts.push((n % DOMAINS, batches, feed, slots));
     }
-    let (mut up, mut down, mut between) = (0, 0, 0);
+    let (mut sent_up, mut sent_down, mut exchanged) = (0, 0, 0);
     for _ in 0..SECONDS * 1_000 / interval {
         for (domain, batches, _, slots) in &mut hosts {
             for slot in slots {
@@ -184,7 +184,7 @@
                 batches.add(&names[*slot], ServiceUnits(interval * 30 / 1_000));
             }
             if let Some(batch) = batches.next() {
-                up += bytes(batch);
+                sent_up += bytes(batch);
                 let ack = relays[*domain].apply_batch(batch);
                 batches.on_ack(ack);
             }
@@ -194,25 +194,25 @@
             let Some(delta) = relays[from].delta_since(known) else {
                 continue;
             };
-            between += bytes(&delta) * (DOMAINS - 1);
+            exchanged += bytes(&delta) * (DOMAINS - 1);
             for to in (0..DOMAINS).filter(|to| *to != from) {
                 relays[to].merge(&delta);
             }
         }
         for (domain, _, feed, _) in &mut hosts {
-            down += bytes(&feed.next(&relays[*domain]));
+            sent_down += bytes(&feed.next(&relays[*domain]));
         }
     }
-    let a_second = |total: usize, over: usize| total as u64 / SECONDS / over as u64;
+    let per_second = |total: usize, senders: usize| total as u64 / SECONDS / senders as u64;
     println!(
         "| {} | {} | {} | {interval} | {} | {} | {} | {} |",
         size.hosts,
         size.accounts,
         size.backlogged,
-        a_second(up, hosts.len()),
-        a_second(down, hosts.len()),
-        a_second(between, DOMAINS),
-        a_second(up + down, DOMAINS) + 2 * a_second(between, DOMAINS),
+        per_second(sent_up, hosts.len()),
+        per_second(sent_down, hosts.len()),
+        per_second(exchanged, DOMAINS),
+        per_second(sent_up + sent_down, DOMAINS) + 2 * per_second(exchanged, DOMAINS),
     );
     Ok(())
 }
--- a/crates/membership/src/batches.rs
+++ b/crates/membership/src/batches.rs
@@ -1,18 +1,18 @@
-//! Service counters on their way from a host to its relay.
+//! Batches of service counters that a host sends to its relay.
 
 use std::collections::BTreeMap;
 
 use coltsfootnotch_types::{AccountName, HostName, Incarnation, ServiceUnits};
 use serde::{Deserialize, Serialize};
 
-/// Service that a host has counted since its batch before.
+/// Service that a host has counted since its previous batch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceBatch {
     /// The host.
     pub host: HostName,
     /// The run of its process.
     pub incarnation: Incarnation,
-    /// Counted up by one with each batch of that run, whichever relay it goes to.
+    /// Incremented by one with each batch of that run, across all relays.
     pub seq: u64,
     /// Service to add, by account.
     pub added: Vec<(AccountName, ServiceUnits)>,
@@ -20,10 +20,9 @@
 
 /// The batches of one host.
 ///
-/// One batch at a time is on its way, and is sent again until a relay has acknowledged it. When the
-/// host turns to another relay while a batch is unacknowledged, it sends the same batch there: if the
-/// first relay had taken it after all, that one batch counts twice. Counting it twice was chosen over
-/// dropping it, since the usual reason for turning away is that the relay was lost.
+/// One batch at a time is in flight, and is resent until a relay has acknowledged it. A host that
+/// connects to another relay resends an unacknowledged batch there. If the first relay had applied
+/// it as well, the batch counts twice; dropping it could lose the service if that relay has failed.
 ///
 /// ```
 /// use coltsfootnotch_membership::ServiceBatches;
@@ -31,7 +30,7 @@
 /// let mut batches = ServiceBatches::new(HostName::new("sidecar-1")?, Incarnation(7));
 /// batches.add(&AccountName::new("bistro")?, ServiceUnits(30));
 /// let seq = batches.next().map(|b| b.seq);
-/// assert_eq!(batches.next().map(|b| b.seq), seq, "sent again until acknowledged");
+/// assert_eq!(batches.next().map(|b| b.seq), seq, "resent until acknowledged");
 /// batches.on_ack(1);
 /// assert_eq!(batches.next(), None);
 /// # Ok::<(), coltsfootnotch_types::NameError>(())
@@ -46,7 +45,7 @@
 }
 
 impl ServiceBatches {
-    /// The batches of a process that has counted nothing yet.
+    /// Creates the batches of a process that has counted no service yet.
     #[must_use]
     pub fn new(host: HostName, incarnation: Incarnation) -> Self {
         Self {
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Counts service for an account.
+    /// Adds service of an account to the next batch.
     pub fn add(&mut self, account: &AccountName, units: ServiceUnits) {
         match self.pending.get_mut(account) {
             Some(sum) => *sum += units,
@@ -68,8 +67,8 @@
         }
     }
 
-    /// The batch to send now, or again; `None` when there is nothing to tell.
-    #[expect(clippy::should_implement_trait, reason = "it lends from itself")]
+    /// The batch to send or resend; `None` if no service is pending.
+    #[expect(clippy::should_implement_trait, reason = "the item borrows from self")]
     pub fn next(&mut self) -> Option<&ServiceBatch> {
         if self.in_flight.is_none() && !self.pending.is_empty() {
             self.seq += 1;
@@ -83,7 +82,7 @@
         self.in_flight.as_ref()
     }
 
-    /// Notes that a relay has taken the batch `seq`.
+    /// Handles the acknowledgement of batch `seq`.
     pub fn on_ack(&mut self, seq: u64) {
         if self.in_flight.as_ref().is_some_and(|b| b.seq == seq) {
             self.in_flight = None;
--- a/crates/membership/src/contact.rs
+++ b/crates/membership/src/contact.rs
@@ -1,4 +1,4 @@
-//! What a host learns about another.
+//! Contacts that a relay sends to hosts.
 
 use std::net::SocketAddr;
 
@@ -14,20 +14,20 @@
     pub host: HostName,
     /// The run of its process.
     pub incarnation: Incarnation,
-    /// What its daemon does.
+    /// The role of its daemon.
     pub role: Role,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new work.
     pub leaving: bool,
-    /// Where to reach it.
+    /// Addresses at which to reach it.
     pub addresses: Vec<SocketAddr>,
-    /// For a sidecar: its upstreams.
+    /// The upstreams of a sidecar; empty for other roles.
     pub serves: Vec<ServedUpstream>,
 }
 
 impl Contact {
-    /// The contact of a host that takes part; `None` for one that is gone.
+    /// Creates the contact of a host; `None` if it is gone or has sent no profile.
     #[must_use]
     pub fn from_record(record: &HostRecord) -> Option<Self> {
         let profile = record.profile.as_ref()?;
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,7 +1,7 @@
-//! Every relay's summary, merged.
+//! The summaries of all relays, merged into one directory.
 //!
-//! A relay's own summary is merged like those of the others. The result depends on which deltas were
-//! merged, and not on their order or number.
+//! A relay merges its own summary like those of its peers. The result depends on the set of deltas
+//! merged, not on their order or number.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,20 +12,20 @@
     Epoch, HostRecord, Presence, REMOTE_CONTACTS, RelayId, Selection, Summary, SummaryDelta, Timing,
 };
 
-/// One relay as this one knows it.
+/// The summary received from one relay.
 #[derive(Debug, Clone)]
 struct Source {
     epoch: Epoch,
     summary: Summary,
-    /// What the run before said, kept until the present one has settled: a relay that has just been
-    /// restarted has heard no host yet, and its failure domain must not vanish for that.
-    before: Option<Summary>,
+    /// Summary of the previous run, kept until the current one has settled: a relay that has just
+    /// restarted lists no hosts, and its failure domain must not disappear meanwhile.
+    previous: Option<Summary>,
 }
 
-/// The hosts of the whole fleet, as a relay knows them.
+/// The hosts of the whole fleet, as merged by one relay.
 #[derive(Debug, Clone)]
 pub struct Directory {
-    me: RelayId,
+    local: RelayId,
     settled_at: Duration,
     sources: BTreeMap<HostName, Source>,
     hosts: BTreeMap<HostName, HostRecord>,
@@ -35,11 +35,11 @@
 }
 
 impl Directory {
-    /// The directory of a relay that starts at `now`.
+    /// Creates the empty directory of a relay that starts at `now`.
     #[must_use]
-    pub fn new(me: RelayId, timing: &Timing, now: Duration) -> Self {
+    pub fn new(local: RelayId, timing: &Timing, now: Duration) -> Self {
         Self {
-            me,
+            local,
             settled_at: now + timing.silent_after,
             sources: BTreeMap::new(),
             hosts: BTreeMap::new(),
@@ -49,27 +49,27 @@
         }
     }
 
-    /// Changes how many sidecars an entry knows for each pool in each other failure domain. It must
-    /// be the same at every relay.
+    /// Sets the maximum number of sidecars that an entry connects to for each pool of each other
+    /// failure domain. It must be the same at every relay.
     pub fn set_remote_contacts(&mut self, n: usize) {
         self.remote_contacts = n;
         self.selection = Selection::of(self.hosts.values(), n);
         self.version += 1;
     }
 
-    /// Whether this relay has been up long enough for a host missing here to be gone.
+    /// Whether this relay has run long enough for a host that is not listed to be gone.
     #[must_use]
     pub fn is_settled(&self, now: Duration) -> bool {
         now >= self.settled_at
     }
 
-    /// Counted up with each change.
+    /// Incremented with each change.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The version of a relay's summary that is known here completely, to ask it for what follows.
+    /// The version up to which every change of a relay's summary has been merged.
     #[must_use]
     pub fn known_version(&self, relay: &RelayId) -> u64 {
         match self.sources.get(&relay.host) {
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Takes in a delta of some relay's summary. Returns whether everything up to its end is now known; if not, ask for a delta from
-    /// [`Directory::known`].
+    /// Merges a delta of a relay's summary. Returns whether no change up to `delta.to` is missing;
+    /// if one is, request a delta from [`Directory::known_version`].
     pub fn merge(&mut self, now: Duration, delta: &SummaryDelta) -> bool {
         let source = self
             .sources
@@ -87,46 +87,47 @@
             .or_insert_with(|| Source {
                 epoch: delta.relay.epoch,
                 summary: Summary::default(),
-                before: None,
+                previous: None,
             });
         if delta.relay.epoch < source.epoch {
             return true;
         }
         if delta.relay.epoch > source.epoch {
             source.epoch = delta.relay.epoch;
-            source.before = Some(std::mem::take(&mut source.summary));
+            source.previous = Some(std::mem::take(&mut source.summary));
         }
         let is_complete = source.summary.merge(now, delta);
         if delta.settled && is_complete {
-            source.before = None;
+            source.previous = None;
         }
-        self.resolve();
+        self.rebuild();
         is_complete
     }
 
-    /// Drops what is known of hosts that are long gone. What a silent relay said of others is kept: it
-    /// may have had nothing to say for long, and its hosts are there all the same.
+    /// Drops hosts whose tombstones have expired. Other records of a silent relay are kept: it
+    /// sends no delta while nothing changes.
     pub fn purge(&mut self, now: Duration) {
         for source in self.sources.values_mut() {
             source.summary.purge(now);
         }
-        self.resolve();
+        self.rebuild();
     }
 
-    /// Forgets the summary of a relay that will not come back, since its control host was replaced.
+    /// Removes the summary of a relay whose control host was replaced and will not return.
     pub fn remove_relay(&mut self, host: &HostName) {
-        if *host != self.me.host {
+        if *host != self.local.host {
             self.sources.remove(host);
-            self.resolve();
+            self.rebuild();
         }
     }
 
-    fn resolve(&mut self) {
+    /// Selects the record that takes precedence for each host.
+    fn rebuild(&mut self) {
         let mut hosts: BTreeMap<HostName, HostRecord> = BTreeMap::new();
         let summaries = self
             .sources
             .values()
-            .flat_map(|s| s.before.iter().chain([&s.summary]));
+            .flat_map(|s| s.previous.iter().chain([&s.summary]));
         for record in summaries.flat_map(Summary::records) {
             match hosts.get(&record.host) {
                 Some(best) if !record.supersedes(best) => {}
@@ -142,24 +143,24 @@
         }
     }
 
-    /// Every host, gone ones included.
+    /// The records of all hosts, including those that are gone.
     pub fn hosts(&self) -> impl Iterator<Item = &HostRecord> {
         self.hosts.values()
     }
 
-    /// One host.
+    /// The record of `host`.
     #[must_use]
     pub fn get(&self, host: &HostName) -> Option<&HostRecord> {
         self.hosts.get(host)
     }
 
-    /// Which entries and sidecars of different failure domains connect to each other.
+    /// The entries and sidecars of different failure domains that connect to each other.
     #[must_use]
     pub fn selection(&self) -> &Selection {
         &self.selection
     }
 
-    /// The hosts that take part and do not have the configuration `number` in force yet.
+    /// The hosts that are not gone and whose configuration in force is older than `number`.
     #[must_use]
     pub fn hosts_behind(&self, number: u64) -> Vec<HostName> {
         self.hosts()
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/host_record.rs
@@ -1,4 +1,4 @@
-//! What a relay tells others about one host.
+//! The record of one host that relays exchange.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -8,18 +8,18 @@
 
 use crate::Profile;
 
-/// Whether a host takes part.
+/// Whether a host is a member of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Presence {
-    /// It has left or is silent.
+    /// It has left or has missed its heartbeats.
     Gone,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its work and accepts no new work.
     Leaving,
-    /// It takes part.
+    /// It sends heartbeats and is not leaving.
     Present,
 }
 
-/// One host as one relay knows it.
+/// The state of one host at one relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
     /// The host.
@@ -30,27 +30,28 @@
     pub started: u64,
     /// See [`crate::Heartbeat::attach`].
     pub attach: u32,
-    /// Whether it takes part.
+    /// Whether it is a member of the fleet.
     pub presence: Presence,
-    /// The configuration that it has in force.
+    /// Number of the configuration in force at the host.
     pub config: u64,
-    /// What it said about itself; left out once it is gone.
+    /// Its profile; `None` once it is gone.
     pub profile: Option<Arc<Profile>>,
 }
 
 impl HostRecord {
-    /// Whether this record is right rather than `other`, which another relay has of the same host.
+    /// Whether this record takes precedence over `other`, the record of the same host at another
+    /// relay.
     ///
-    /// Of one run the later attachment is right, whatever the earlier relay believes. Of two runs the
-    /// one that takes part is, then the one that started later by the host's own clock. A wrong choice
-    /// lasts until the earlier relay finds its run silent.
+    /// Of one run the later attachment takes precedence. Of two runs the one that is not gone does,
+    /// then the one that started later by the host's clock. A wrong choice is corrected once the
+    /// earlier run is declared silent.
     pub(crate) fn supersedes(&self, other: &Self) -> bool {
         let order = if self.incarnation == other.incarnation {
             self.attach.cmp(&other.attach)
         } else {
-            let is_here = |r: &Self| r.presence != Presence::Gone;
-            is_here(self)
-                .cmp(&is_here(other))
+            let is_listed = |r: &Self| r.presence != Presence::Gone;
+            is_listed(self)
+                .cmp(&is_listed(other))
                 .then(self.started.cmp(&other.started))
                 .then(self.incarnation.cmp(&other.incarnation))
         };
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,56 +1,57 @@
-//! Which hosts there are, and how much service each account has had: soft state, without a quorum.
+//! Host membership and service counters of the fleet: soft state, replicated without a quorum.
 //!
-//! Every host sends heartbeats to one relay, that of its failure domain or, while that is away,
-//! another ([`HostLink`]). The relay keeps them in its [`Registry`], which decides who is present.
-//! Relays exchange what they know as versioned deltas ([`Directory`]), and send each host the part
-//! that concerns it ([`ViewFeed`], [`View`]): its own failure domain, and a few contacts for each
-//! pool elsewhere. Service counters take the same way ([`ServiceBatches`], [`RelaySums`]).
+//! Every host sends heartbeats to one relay: that of its failure domain or, while that is
+//! unreachable, another ([`HostLink`]). The relay tracks its hosts in a [`Registry`], which detects
+//! failures. Relays exchange versioned deltas, merge them into a [`Directory`], and send each host
+//! its part ([`ViewFeed`], [`View`]): its failure domain, and a bounded number of contacts for each
+//! pool of every other one. Service counters take the same path ([`ServiceBatches`],
+//! [`RelaySums`]).
 //!
-//! Everything here can be lost and is rebuilt from what hosts send anyway within a few seconds. A
-//! relay that was just started therefore says nothing about hosts that it has not heard yet, and a
-//! host whose relay is away goes on with the view that it has.
+//! After a loss all of this state is rebuilt within a few seconds from the periodic messages of
+//! hosts. Until then a restarted relay reports nothing on hosts that have not contacted it, and a
+//! host without a reachable relay keeps its last view.
 
 mod batches;
 mod contact;
 mod directory;
-mod feed;
-mod flaps;
+mod flap_damping;
 mod heartbeat;
-mod link;
+mod host_link;
+mod host_record;
 mod member;
 mod profile;
-mod record;
 mod registry;
-mod relay;
 mod relay_address;
+mod relay_id;
+mod relay_sums;
 mod selection;
 mod summary;
-mod sums;
 mod sums_feed;
 mod timing;
 mod totals;
 mod view;
+mod view_feed;
 
 pub use batches::{ServiceBatch, ServiceBatches};
 pub use contact::Contact;
 pub use directory::Directory;
-pub use feed::ViewFeed;
 pub use heartbeat::{Heartbeat, HeartbeatReply};
-pub use link::{HostLink, LinkAction};
+pub use host_link::{HostLink, LinkAction};
+pub use host_record::{HostRecord, Presence};
 pub use member::{MemberEvent, MemberEventKind};
 pub use profile::{Profile, ServedUpstream};
-pub use record::{HostRecord, Presence};
 pub use registry::{Registry, RegistryCounters};
-pub use relay::{Epoch, RelayId};
 pub use relay_address::RelayAddress;
+pub use relay_id::{Epoch, RelayId};
+pub use relay_sums::{RelaySums, SumsDelta};
 pub use selection::{REMOTE_CONTACTS, Selection};
 pub use summary::{Summary, SummaryDelta};
-pub use sums::{RelaySums, SumsDelta};
 pub use sums_feed::SumsFeed;
 pub use timing::Timing;
 pub use view::{View, ViewDelta, ViewGap};
+pub use view_feed::ViewFeed;
 
-/// The types that nearly every user of this package needs.
+/// The most commonly used types.
 pub mod prelude {
     pub use crate::{
         Contact, Directory, Heartbeat, HeartbeatReply, HostLink, Profile, Registry, RelayId,
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -6,42 +6,42 @@
 use coltsfootnotch_chart::{Chart, HostEvent, HostState, Machine, Transition};
 use coltsfootnotch_types::{HostName, Incarnation};
 
-use crate::flaps::Flaps;
+use crate::flap_damping::FlapDamping;
 use crate::{Heartbeat, HostRecord, Presence, Profile, Timing};
 
-/// How long a host stays with another relay at least, before it goes back to its own; going there
-/// and back are two turns.
-const SHORTEST_STAY: Duration = Duration::from_secs(10);
+/// Minimum time that a host stays with another relay before it fails back; failover and failback
+/// are two moves.
+const MIN_STAY: Duration = Duration::from_secs(10);
 
-/// What happened to a host.
+/// A change of the state of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberEvent {
     /// The host.
     pub host: HostName,
     /// The run of its process.
     pub incarnation: Incarnation,
-    /// What happened.
+    /// The kind of change.
     pub kind: MemberEventKind,
 }
 
-/// What happened to a host.
+/// The kind of a [`MemberEvent`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberEventKind {
     /// It is listed as present, for the first time or again.
     Present,
-    /// It has not been heard for a while: ask it for a sign.
+    /// No heartbeat was received for [`Timing::suspect_after`].
     Suspected,
-    /// It is listed as gone, since it was not heard.
+    /// It is listed as gone: no heartbeat was received for [`Timing::silent_after`].
     Silent,
     /// It has announced that it is leaving.
     Leaving,
     /// It has left.
     Left,
-    /// A later run has taken its place.
+    /// A later run of the host has registered.
     Replaced,
 }
 
-/// One host in the registry; whether it is heard follows the chart `host`.
+/// One host in the registry. Its state follows the state chart `host`.
 #[derive(Debug, Clone)]
 pub(crate) struct Member {
     pub(crate) incarnation: Incarnation,
@@ -53,15 +53,20 @@
     seq: u64,
     config: u64,
     leaving: bool,
-    heard: Duration,
-    hearing: Machine,
-    /// Since when a host that is not listed yet has been heard without a gap.
-    heard_since: Duration,
-    flaps: Flaps,
+    last_heartbeat: Duration,
+    machine: Machine,
+    /// Start of the gapless heartbeats of a host that is not listed yet.
+    steady_since: Duration,
+    damping: FlapDamping,
 }
 
 impl Member {
-    pub(crate) fn new(chart: &Arc<Chart>, now: Duration, hb: &Heartbeat, flaps: Flaps) -> Self {
+    pub(crate) fn new(
+        chart: &Arc<Chart>,
+        now: Duration,
+        hb: &Heartbeat,
+        damping: FlapDamping,
+    ) -> Self {
         Self {
             incarnation: hb.incarnation,
             profile_version: None,
@@ -72,105 +77,109 @@
             seq: 0,
             config: 0,
             leaving: false,
-            heard: now,
-            hearing: Machine::new(chart),
-            heard_since: now,
-            flaps,
+            last_heartbeat: now,
+            machine: Machine::new(chart),
+            steady_since: now,
+            damping,
         }
     }
 
-    /// The damping of this host, handed on to its next run: a process that restarts again and again
-    /// flaps as well.
-    pub(crate) fn flaps(&self) -> Flaps {
-        self.flaps
+    /// The flap damping of this host, passed on to its next run: a process that restarts repeatedly
+    /// is damped as well.
+    pub(crate) fn damping(&self) -> FlapDamping {
+        self.damping
     }
 
-    /// Takes a heartbeat of this run; returns what changed.
-    pub(crate) fn hear(&mut self, now: Duration, hb: &Heartbeat) -> Option<MemberEventKind> {
-        // A copy or a straggler says nothing about now: taken as a sign of life, it would keep a lost
-        // host listed.
+    /// Handles a heartbeat of this run; returns the change.
+    pub(crate) fn on_heartbeat(
+        &mut self,
+        now: Duration,
+        hb: &Heartbeat,
+    ) -> Option<MemberEventKind> {
+        // Duplicates and late heartbeats must not keep a lost host listed.
         if hb.seq <= self.seq {
             return None;
         }
         self.seq = hb.seq;
         if hb.attach > self.attach {
-            self.forgive_move(now, hb.attach - self.attach);
+            self.undo_flap_after_move(now, hb.attach - self.attach);
             self.attach = hb.attach;
         }
-        self.heard = now;
+        self.last_heartbeat = now;
         self.started = hb.started;
         self.config = self.config.max(hb.config);
         if let Some(profile) = &hb.profile {
             self.profile = Some(Arc::new(profile.clone()));
             self.profile_version = Some(hb.profile_version);
         }
-        let announces = hb.leaving && !self.leaving;
+        let starts_leaving = hb.leaving && !self.leaving;
         self.leaving |= hb.leaving;
-        let listed = self.list(now);
-        listed.or(announces.then_some(MemberEventKind::Leaving))
+        let listed = self.update_listing(now);
+        listed.or(starts_leaving.then_some(MemberEventKind::Leaving))
     }
 
-    /// A host that was silent here because it was with another relay has not flapped. One that is
-    /// heard badly by all turns from relay to relay without staying anywhere.
-    fn forgive_move(&mut self, now: Duration, turns: u32) {
-        let away = now.saturating_sub(self.heard);
-        if self.is(HostState::Silent) && away >= SHORTEST_STAY * turns / 2 {
-            self.flaps.undo();
+    /// Reverts the flap of a host that was silent because it was connected to another relay. A host
+    /// that moves without staying anywhere remains damped: its links to all relays are lossy.
+    fn undo_flap_after_move(&mut self, now: Duration, moves: u32) {
+        let absence = now.saturating_sub(self.last_heartbeat);
+        if self.is(HostState::Silent) && absence >= MIN_STAY * moves / 2 {
+            self.damping.undo_flap();
         }
     }
 
-    /// Lists the host if it may be.
-    fn list(&mut self, now: Duration) -> Option<MemberEventKind> {
-        let change = self.list_now(now);
+    /// Lists the host if it has sent its profile and its hold-down time is over; returns the
+    /// change.
+    fn update_listing(&mut self, now: Duration) -> Option<MemberEventKind> {
+        let change = self.try_list(now);
         if self.is_listed() {
             self.listed_attach = self.attach;
         }
         change
     }
 
-    fn list_now(&mut self, now: Duration) -> Option<MemberEventKind> {
+    fn try_list(&mut self, now: Duration) -> Option<MemberEventKind> {
         if self.is(HostState::Silent) {
-            self.heard_since = now;
+            self.steady_since = now;
         }
         self.fire(HostEvent::Heard);
         if !self.is(HostState::Returning) {
             return None;
         }
-        if self.profile.is_none() || now < self.heard_since + self.flaps.hold() {
+        if self.profile.is_none() || now < self.steady_since + self.damping.hold_down() {
             return None;
         }
         self.fire(HostEvent::Held);
-        self.flaps.list(now);
+        self.damping.on_listed(now);
         Some(MemberEventKind::Present)
     }
 
-    /// Looks at the time; returns what changed.
+    /// Checks the timeouts at `now`; returns the change.
     pub(crate) fn tick(&mut self, now: Duration, timing: &Timing) -> Option<MemberEventKind> {
-        let silence = now.saturating_sub(self.heard);
+        let silence = now.saturating_sub(self.last_heartbeat);
         let was_listed = self.is_listed();
         if was_listed && silence >= timing.silent_after {
             self.fire(HostEvent::SilenceLong);
             if !self.leaving {
-                self.flaps.add(now);
+                self.damping.add_flap(now);
             }
             return Some(MemberEventKind::Silent);
         }
         if silence < timing.suspect_after || !self.fire(HostEvent::SilenceShort) {
             return None;
         }
-        // A gap while it is being watched starts the watch anew, and nobody needs to know.
+        // A gap during hold-down only restarts it and is not reported.
         was_listed.then_some(MemberEventKind::Suspected)
     }
 
-    /// Notes that the host has left.
-    pub(crate) fn leave(&mut self) {
+    /// Records that the host has left.
+    pub(crate) fn mark_left(&mut self) {
         self.fire(HostEvent::Goodbye);
     }
 
-    /// When a host that is gone was heard last.
+    /// Time of the last heartbeat of a host that is gone.
     pub(crate) fn gone_since(&self) -> Option<Duration> {
         let is_gone = self.is(HostState::Silent) || self.is(HostState::Left);
-        is_gone.then_some(self.heard)
+        is_gone.then_some(self.last_heartbeat)
     }
 
     fn is_listed(&self) -> bool {
@@ -178,29 +187,29 @@
     }
 
     fn is(&self, state: HostState) -> bool {
-        self.hearing.is(state)
+        self.machine.is(state)
     }
 
-    /// Takes an event; whether it moved the host to another state.
+    /// Applies an event; returns whether the state changed.
     fn fire(&mut self, event: HostEvent) -> bool {
-        if self.hearing.is_final() {
+        if self.machine.is_final() {
             return false;
         }
-        match self.hearing.fire(event) {
+        match self.machine.fire(event) {
             Ok(transition) => transition != Transition::Ignored,
-            Err(e) => panic!("run {} of a host: {e}", self.incarnation),
+            Err(e) => panic!("state chart of a host, run {}: {e}", self.incarnation),
         }
     }
 
-    /// What other relays are told. A host that is being watched before it is listed again keeps the
-    /// attachment under which it was listed last: another relay may list it under a later one.
+    /// The record for other relays. During hold-down it keeps the attachment under which the host
+    /// was last listed, since another relay may list the host under a later one.
     pub(crate) fn record(&self, host: &HostName) -> HostRecord {
         let presence = match self.is_listed() {
             true if self.leaving => Presence::Leaving,
             true => Presence::Present,
             false => Presence::Gone,
         };
-        let is_here = presence != Presence::Gone;
+        let is_listed = presence != Presence::Gone;
         HostRecord {
             host: host.clone(),
             incarnation: self.incarnation,
@@ -208,7 +217,7 @@
             attach: self.listed_attach,
             presence,
             config: self.config,
-            profile: self.profile.clone().filter(|_| is_here),
+            profile: self.profile.clone().filter(|_| is_listed),
         }
     }
 }
--- a/crates/membership/src/registry.rs
+++ b/crates/membership/src/registry.rs
@@ -7,42 +7,42 @@
 use coltsfootnotch_chart::{Chart, Charts};
 use coltsfootnotch_types::{HostName, Incarnation};
 
-use crate::flaps::Flaps;
+use crate::flap_damping::FlapDamping;
 use crate::member::Member;
-use crate::timing::KEEP_GONE;
+use crate::timing::TOMBSTONE_RETENTION;
 use crate::{
     Heartbeat, HeartbeatReply, MemberEvent, MemberEventKind, RelayId, Summary, SummaryDelta, Timing,
 };
 
-/// Earlier runs of one host that are remembered, so that their late heartbeats are refused.
+/// Earlier runs remembered for each host, whose late heartbeats are refused.
 const RETIRED_RUNS: usize = 8;
 
-/// What happened at this relay since it started.
+/// Counters of a registry since the start of its relay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RegistryCounters {
-    /// Heartbeats taken.
+    /// Heartbeats accepted.
     pub heartbeats: u64,
-    /// Heartbeats of runs that a later one has replaced.
+    /// Heartbeats refused because a later run has registered.
     pub refused: u64,
-    /// Hosts found silent.
+    /// Hosts declared silent.
     pub silent: u64,
 }
 
-/// The hosts of one relay and what it tells others about them.
+/// The hosts that send heartbeats to one relay, and the summary of them for other relays.
 ///
 /// ```
 /// use std::time::Duration;
 /// use coltsfootnotch_membership::{Epoch, Registry, RelayId, Timing};
 /// use coltsfootnotch_types::HostName;
-/// let me = RelayId { host: HostName::new("control-1")?, epoch: Epoch(1) };
-/// let mut registry = Registry::new(me, Timing::DEFAULT, Duration::ZERO);
+/// let local = RelayId { host: HostName::new("control-1")?, epoch: Epoch(1) };
+/// let mut registry = Registry::new(local, Timing::DEFAULT, Duration::ZERO);
 /// registry.tick(Duration::from_secs(1));
 /// assert_eq!(registry.take_events(), vec![]);
 /// # Ok::<(), coltsfootnotch_types::NameError>(())
 /// ```
 #[derive(Debug, Clone)]
 pub struct Registry {
-    me: RelayId,
+    local: RelayId,
     chart: Arc<Chart>,
     timing: Timing,
     started: Duration,
@@ -55,15 +55,15 @@
 }
 
 impl Registry {
-    /// The registry of a relay that starts at `now` and knows no host yet.
+    /// Creates the empty registry of a relay that starts at `now`.
     ///
     /// # Panics
-    /// If the charts in the program are not valid, which their own tests rule out.
+    /// Panics if the embedded state charts are invalid.
     #[must_use]
-    pub fn new(me: RelayId, timing: Timing, now: Duration) -> Self {
-        let charts = Charts::load().expect("the charts in the program are valid");
+    pub fn new(local: RelayId, timing: Timing, now: Duration) -> Self {
+        let charts = Charts::load().expect("the embedded state charts are valid");
         Self {
-            me,
+            local,
             chart: charts.host,
             timing,
             started: now,
@@ -76,40 +76,40 @@
         }
     }
 
-    /// Takes a heartbeat received at `now`.
+    /// Handles a heartbeat received at `now`.
     pub fn on_heartbeat(&mut self, now: Duration, hb: &Heartbeat) -> HeartbeatReply {
         if self.is_retired(&hb.host, hb.incarnation) {
             self.counters.refused += 1;
             return HeartbeatReply::Replaced;
         }
         self.counters.heartbeats += 1;
-        let flaps = self.replace(now, hb);
+        let damping = self.retire_earlier_run(now, hb);
         let chart = &self.chart;
-        let new_member = || Member::new(chart, now, hb, flaps);
-        let known = self.members.entry(hb.host.clone());
-        let member = known.or_insert_with(new_member);
-        let change = member.hear(now, hb);
+        let new_member = || Member::new(chart, now, hb, damping);
+        let entry = self.members.entry(hb.host.clone());
+        let member = entry.or_insert_with(new_member);
+        let change = member.on_heartbeat(now, hb);
         let profile_version = member.profile_version;
-        self.note(&hb.host, change);
+        self.update_summary(&hb.host, change);
         HeartbeatReply::Accepted {
             seq: hb.seq,
-            epoch: self.me.epoch,
+            epoch: self.local.epoch,
             profile_version,
         }
     }
 
-    /// Notes that a run of a host has ended as planned.
+    /// Records that a run of a host has left after a planned stop.
     pub fn mark_left(&mut self, host: &HostName, incarnation: Incarnation) {
         let Some(member) = self.members.get_mut(host) else {
             return;
         };
         if member.incarnation == incarnation {
-            member.leave();
-            self.note(host, Some(MemberEventKind::Left));
+            member.mark_left();
+            self.update_summary(host, Some(MemberEventKind::Left));
         }
     }
 
-    /// Looks for silence; call it at least every quarter of a second.
+    /// Detects silent hosts and removes expired ones; must be called at least every 250 ms.
     pub fn tick(&mut self, now: Duration) {
         if !self.settled && now >= self.started + self.timing.silent_after {
             self.settled = true;
@@ -125,8 +125,10 @@
         let Some(member) = self.members.get_mut(host) else {
             return;
         };
-        let is_over = member.gone_since().is_some_and(|t| now >= t + KEEP_GONE);
-        if is_over {
+        let is_expired = member
+            .gone_since()
+            .is_some_and(|t| now >= t + TOMBSTONE_RETENTION);
+        if is_expired {
             self.members.remove(host);
             self.retired.remove(host);
             self.summary.remove(host);
@@ -134,20 +136,20 @@
         }
         let change = member.tick(now, &self.timing);
         if change.is_some() {
-            self.note(host, change);
+            self.update_summary(host, change);
         }
     }
 
-    /// Retires the earlier run of the host that `hb` comes from, and returns its damping.
-    fn replace(&mut self, now: Duration, hb: &Heartbeat) -> Flaps {
+    /// Retires an earlier run of the host that sent `hb`, and returns its flap damping.
+    fn retire_earlier_run(&mut self, now: Duration, hb: &Heartbeat) -> FlapDamping {
         let earlier = self.members.get(&hb.host);
         let Some(earlier) = earlier.filter(|m| m.incarnation != hb.incarnation) else {
-            return Flaps::default();
+            return FlapDamping::default();
         };
         let incarnation = earlier.incarnation;
-        let mut flaps = earlier.flaps();
+        let mut damping = earlier.damping();
         if earlier.gone_since().is_none() {
-            flaps.add(now);
+            damping.add_flap(now);
         }
         let retired = self.retired.entry(hb.host.clone()).or_default();
         retired.push_back(incarnation);
@@ -155,8 +157,8 @@
             retired.pop_front();
         }
         self.members.remove(&hb.host);
-        self.event(&hb.host, incarnation, MemberEventKind::Replaced);
-        flaps
+        self.push_event(&hb.host, incarnation, MemberEventKind::Replaced);
+        damping
     }
 
     fn is_retired(&self, host: &HostName, incarnation: Incarnation) -> bool {
@@ -164,8 +166,8 @@
         retired.is_some_and(|runs| runs.contains(&incarnation))
     }
 
-    /// Brings the summary up to date with a member, and keeps the event.
-    fn note(&mut self, host: &HostName, change: Option<MemberEventKind>) {
+    /// Updates the summary with the record of a member and queues the event.
+    fn update_summary(&mut self, host: &HostName, change: Option<MemberEventKind>) {
         let Some(member) = self.members.get(host) else {
             return;
         };
@@ -174,11 +176,11 @@
             self.summary.set(member.record(host));
         }
         if let Some(kind) = change {
-            self.event(host, incarnation, kind);
+            self.push_event(host, incarnation, kind);
         }
     }
 
-    fn event(&mut self, host: &HostName, incarnation: Incarnation, kind: MemberEventKind) {
+    fn push_event(&mut self, host: &HostName, incarnation: Incarnation, kind: MemberEventKind) {
         self.counters.silent += u64::from(kind == MemberEventKind::Silent);
         self.events.push(MemberEvent {
             host: host.clone(),
@@ -187,27 +189,27 @@
         });
     }
 
-    /// What happened since the last call.
+    /// Drains the events since the last call.
     pub fn take_events(&mut self) -> Vec<MemberEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// What happened at this relay since it started.
+    /// The counters since the start of the relay.
     #[must_use]
     pub fn counters(&self) -> RegistryCounters {
         self.counters
     }
 
-    /// This relay's own part of the directory.
+    /// The summary of this relay's hosts.
     #[must_use]
     pub fn summary(&self) -> &Summary {
         &self.summary
     }
 
-    /// What changed since version `since` of this relay's summary, for its own directory and for
-    /// other relays. Empty when nothing did.
+    /// The changes of this relay's summary after version `since`, for the directory of every relay.
+    /// Without a change the delta has no records.
     #[must_use]
     pub fn delta_since(&self, since: u64) -> SummaryDelta {
-        self.summary.delta_since(&self.me, since, self.settled)
+        self.summary.delta_since(&self.local, since, self.settled)
     }
 }
--- a/crates/membership/src/relay_address.rs
+++ b/crates/membership/src/relay_address.rs
@@ -1,34 +1,34 @@
-//! Where relays are, and in which order a host tries them.
+//! Addresses of relays, and the order in which a host tries them.
 
 use std::net::SocketAddr;
 
 use coltsfootnotch_types::{DomainName, HostName};
 
-/// Where a relay is.
+/// The address of a relay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelayAddress {
     /// Its host.
     pub host: HostName,
     /// Its failure domain.
     pub domain: DomainName,
-    /// Where to reach it.
+    /// Addresses at which to reach it.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// The relays in the order of trial: the own failure domain's first, then the others beginning at a
-/// place that depends on the host.
-pub(crate) fn ranked(
+/// Sorts relays by the preference of `host`: those of its failure domain first, then the others,
+/// rotated by its name so that hosts spread over them.
+pub(crate) fn sort_by_preference(
     host: &HostName,
     domain: &DomainName,
     relays: Vec<RelayAddress>,
 ) -> Vec<RelayAddress> {
-    let (mut own, mut other): (Vec<_>, Vec<_>) =
+    let (mut local, mut other): (Vec<_>, Vec<_>) =
         relays.into_iter().partition(|r| r.domain == *domain);
     if !other.is_empty() {
         let sum: usize = host.as_str().bytes().map(usize::from).sum();
         let start = sum % other.len();
         other.rotate_left(start);
     }
-    own.append(&mut other);
-    own
+    local.append(&mut other);
+    local
 }
--- a/crates/membership/src/relay.rs
+++ b/crates/membership/src/relay_id.rs
@@ -1,13 +1,13 @@
-//! One run of one relay.
+//! Identity of a relay.
 
 use coltsfootnotch_types::HostName;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Number of the run of a relay, higher at each start.
+/// Number of the run of a relay, stored on disk and incremented at each start.
 ///
-/// Relays have a disk, so they count their starts there. The order is what lets summaries be merged
-/// in any order: with random numbers, a late message of the earlier run would replace the later one.
+/// Epochs are ordered so that a late delta of an earlier run cannot replace the summary of a later
+/// one.
 #[derive(
     Debug,
     Clone,
@@ -30,6 +30,6 @@
 pub struct RelayId {
     /// Its host.
     pub host: HostName,
-    /// Its run.
+    /// The number of the run.
     pub epoch: Epoch,
 }
--- a/crates/membership/src/selection.rs
+++ b/crates/membership/src/selection.rs
@@ -1,9 +1,10 @@
-//! Which entries and sidecars of different failure domains know each other.
+//! Selection of the entries and sidecars of different failure domains that connect to each other.
 //!
-//! Within a failure domain every entry knows every sidecar. Across domains an entry knows a bounded
-//! number for each pool and domain, so that a host's state and connections grow with its own domain
-//! and not with the fleet. Each entry's choice is by rendezvous hashing: entries choose differently,
-//! together they cover every sidecar, and the loss of a sidecar changes only its own places.
+//! Within a failure domain every entry connects to every sidecar. Across domains the number is
+//! bounded for each pool and domain, so that the state and connections of a host grow with its own
+//! domain and not with the fleet. Entries choose by rendezvous hashing: their choices differ,
+//! together they cover the sidecars, and the loss of a sidecar affects only the entries that chose
+//! it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,14 +12,13 @@
 
 use crate::{HostRecord, Presence, Profile};
 
-/// Sidecars that an entry knows for each pool in each other failure domain. At today's sizes (about
-/// 20 replicas of the largest pool in three domains) this is all of them.
+/// Maximum number of sidecars that an entry connects to for each pool of each other failure domain.
 pub const REMOTE_CONTACTS: usize = 8;
 
-/// Sidecars of one pool in one failure domain, and whether each takes new work for it.
+/// Sidecars of one pool in one failure domain, and whether each accepts new work for it.
 type Candidates<'a> = BTreeMap<&'a HostName, bool>;
 
-/// The pairs across failure domains.
+/// Pairs of an entry and a sidecar in different failure domains.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Selection {
     sidecars_of: BTreeMap<HostName, BTreeSet<HostName>>,
@@ -26,18 +26,19 @@
 }
 
 impl Selection {
-    /// The pairs among `hosts`, with up to `max` sidecars for each entry, pool and other domain.
+    /// Selects the pairs among `hosts`: up to `max` sidecars for each entry, pool and other domain.
     pub fn of<'a>(hosts: impl Iterator<Item = &'a HostRecord>, max: usize) -> Self {
         let mut entries = Vec::new();
-        let mut places: BTreeMap<(&DomainName, &PoolName), Candidates<'_>> = BTreeMap::new();
+        let mut by_domain_and_pool: BTreeMap<(&DomainName, &PoolName), Candidates<'_>> =
+            BTreeMap::new();
         for (record, profile) in hosts.filter_map(listed) {
             match profile.role {
                 Role::Entry => entries.push((&record.host, &profile.domain)),
                 Role::Sidecar => {
                     for served in &profile.serves {
-                        let place = (&profile.domain, &served.pool);
+                        let key = (&profile.domain, &served.pool);
                         let is_active = record.presence == Presence::Present && !served.leaving;
-                        let candidates = places.entry(place).or_default();
+                        let candidates = by_domain_and_pool.entry(key).or_default();
                         *candidates.entry(&record.host).or_default() |= is_active;
                     }
                 }
@@ -46,7 +47,7 @@
         }
         let mut selection = Self::default();
         for (entry, domain) in entries {
-            for ((remote, _), sidecars) in &places {
+            for ((remote, _), sidecars) in &by_domain_and_pool {
                 if *remote != domain {
                     selection.choose(entry, sidecars, max);
                 }
@@ -55,8 +56,8 @@
         selection
     }
 
-    /// Chooses the best active sidecars. Leaving ones that rank among them stay chosen besides, so
-    /// that the entry learns that they are leaving and can end what it has there.
+    /// Chooses the best-ranked active sidecars of an entry. Leaving ones that rank among them are
+    /// kept in addition, so that the entry is notified and can finish its requests there.
     fn choose(&mut self, entry: &HostName, sidecars: &Candidates<'_>, max: usize) {
         let mut ranked: Vec<_> = sidecars
             .iter()
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The hosts of other failure domains that `host` knows.
+    /// The contacts of `host` in other failure domains.
     pub fn remote(&self, host: &HostName) -> impl Iterator<Item = &HostName> {
         let sidecars = self.sidecars_of.get(host).into_iter().flatten();
         sidecars.chain(self.entries_of.get(host).into_iter().flatten())
@@ -88,8 +89,8 @@
     (record.presence != Presence::Gone).then_some((record, profile))
 }
 
-/// The rank of a sidecar for an entry; lower is better. FNV-1a, since the standard library's hash may
-/// differ between relays that run different builds.
+/// Rendezvous score of a sidecar for an entry; lower is better. Uses FNV-1a, since the standard
+/// library's hash may differ between builds and all relays must agree.
 fn score(entry: &HostName, sidecar: &HostName) -> u64 {
     let bytes = entry
         .as_str()
@@ -99,7 +100,7 @@
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
     });
-    // The last bytes of a name reach only the low bits of the sum; folding spreads them.
+    // The last bytes of a name affect only the low bits of the hash; mixing spreads them.
     let folded = (hash ^ (hash >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     folded ^ (folded >> 29)
 }
--- a/crates/membership/src/summary.rs
+++ b/crates/membership/src/summary.rs
@@ -1,8 +1,8 @@
-//! What one relay says about the hosts that it hears, as versions and deltas.
+//! The versioned summary of the hosts of one relay, exchanged as deltas.
 //!
-//! Each record bears the version at which it last changed. A receiver ignores records up to the
-//! version that it knows completely, and otherwise keeps the one with the higher version: so deltas
-//! may come twice and in any order.
+//! Each record carries the version of its last change. A receiver ignores records up to the version
+//! that it has merged without a gap, and of any others keeps the higher version: so deltas can be
+//! duplicated and reordered.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,29 +10,29 @@
 use coltsfootnotch_types::HostName;
 use serde::{Deserialize, Serialize};
 
-use crate::timing::KEEP_GONE;
+use crate::timing::TOMBSTONE_RETENTION;
 use crate::{HostRecord, Presence, RelayId};
 
 /// Changes of a summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SummaryDelta {
-    /// Whose summary.
+    /// The run of the relay that the summary belongs to.
     pub relay: RelayId,
-    /// Every change after this version is in it; zero for the whole summary.
+    /// The version after which every change is included; zero for the full summary.
     pub from: u64,
-    /// The version that it leads to.
+    /// The version after applying the delta.
     pub to: u64,
-    /// Whether the relay has been up long enough to have heard every host that is there: until then a
-    /// host that is missing may still be present.
+    /// Whether the relay has run long enough to have received a heartbeat of every connected host.
+    /// Until then a host without a record may still be present.
     pub settled: bool,
-    /// The records that changed, each with its version.
+    /// The changed records, each with its version.
     pub records: Vec<(u64, HostRecord)>,
 }
 
 #[derive(Debug, Clone)]
 struct Entry {
     version: u64,
-    merged: Duration,
+    merged_at: Duration,
     record: HostRecord,
 }
 
@@ -45,13 +45,13 @@
 }
 
 impl Summary {
-    /// The version reached, or known completely.
+    /// The current version; at a receiver the version merged without a gap.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The hosts, gone ones included.
+    /// The records of all hosts, including those that are gone.
     pub fn records(&self) -> impl Iterator<Item = &HostRecord> {
         self.entries.values().map(|e| &e.record)
     }
@@ -62,7 +62,7 @@
         self.entries.get(host).map(|e| &e.record)
     }
 
-    /// Puts a record in, under a new version if it changes anything.
+    /// Inserts or replaces a record under a new version, if it differs from the present one.
     pub(crate) fn set(&mut self, record: HostRecord) {
         if self.get(&record.host) == Some(&record) {
             return;
@@ -70,18 +70,18 @@
         self.version += 1;
         let entry = Entry {
             version: self.version,
-            merged: Duration::ZERO,
+            merged_at: Duration::ZERO,
             record,
         };
         self.entries.insert(entry.record.host.clone(), entry);
     }
 
-    /// Starts a new version without a change of a record.
+    /// Increments the version without a change of a record.
     pub(crate) fn touch(&mut self) {
         self.version += 1;
     }
 
-    /// Forgets a host. Receivers that had not heard that it is gone get the whole summary next time.
+    /// Removes a host. Receivers whose version precedes its last record get the full summary next.
     pub(crate) fn remove(&mut self, host: &HostName) {
         if let Some(entry) = self.entries.remove(host) {
             self.floor = self.floor.max(entry.version);
@@ -100,24 +100,24 @@
         }
     }
 
-    /// Takes a delta in; returns whether everything up to its end is now known.
+    /// Merges a delta; returns whether no change up to `delta.to` is missing.
     pub(crate) fn merge(&mut self, now: Duration, delta: &SummaryDelta) -> bool {
         for (version, record) in &delta.records {
-            let known = self
+            let known_version = self
                 .entries
                 .get(&record.host)
                 .map_or(self.version, |e| e.version.max(self.version));
-            if *version > known {
+            if *version > known_version {
                 let entry = Entry {
                     version: *version,
-                    merged: now,
+                    merged_at: now,
                     record: record.clone(),
                 };
                 self.entries.insert(record.host.clone(), entry);
             }
         }
         if delta.from == 0 && delta.to > self.version {
-            self.keep_only(delta);
+            self.retain_listed(delta);
         }
         if delta.from <= self.version {
             self.version = self.version.max(delta.to);
@@ -125,19 +125,20 @@
         delta.to <= self.version
     }
 
-    /// Drops the hosts that a whole summary no longer lists.
-    fn keep_only(&mut self, whole: &SummaryDelta) {
+    /// Drops the hosts that a full summary no longer lists.
+    fn retain_listed(&mut self, full: &SummaryDelta) {
         let listed: std::collections::BTreeSet<_> =
-            whole.records.iter().map(|(_, r)| &r.host).collect();
+            full.records.iter().map(|(_, r)| &r.host).collect();
         self.entries
-            .retain(|host, e| e.version > whole.to || listed.contains(host));
+            .retain(|host, e| e.version > full.to || listed.contains(host));
     }
 
-    /// Drops hosts that have been gone for long; returns whether there were any.
+    /// Drops expired tombstones; returns whether there were any.
     pub(crate) fn purge(&mut self, now: Duration) -> bool {
         let before = self.entries.len();
-        self.entries
-            .retain(|_, e| e.record.presence != Presence::Gone || now < e.merged + KEEP_GONE);
+        self.entries.retain(|_, e| {
+            e.record.presence != Presence::Gone || now < e.merged_at + TOMBSTONE_RETENTION
+        });
         self.entries.len() < before
     }
 }
--- a/crates/membership/src/sums_feed.rs
+++ b/crates/membership/src/sums_feed.rs
@@ -1,4 +1,4 @@
-//! The service sums that one host has asked for.
+//! The service sums that one host subscribes to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,73 +6,73 @@
 
 use crate::RelaySums;
 
-/// The accounts that wait in a host's pools, and what it was told of each, over one connection.
+/// The accounts that a host subscribes to over one connection, and the sums last sent.
 #[derive(Debug, Clone, Default)]
 pub struct SumsFeed {
-    told: BTreeMap<AccountName, ServiceUnits>,
-    untold: BTreeSet<AccountName>,
-    seen: u64,
+    sent: BTreeMap<AccountName, ServiceUnits>,
+    unsent: BTreeSet<AccountName>,
+    version: u64,
 }
 
 impl SumsFeed {
-    /// Adds accounts to those asked for.
+    /// Subscribes to accounts.
     pub fn subscribe<'a>(&mut self, accounts: impl IntoIterator<Item = &'a AccountName>) {
         for account in accounts {
-            if !self.told.contains_key(account) {
-                self.untold.insert(account.clone());
+            if !self.sent.contains_key(account) {
+                self.unsent.insert(account.clone());
             }
         }
     }
 
-    /// Takes accounts away.
+    /// Cancels the subscription to accounts.
     pub fn unsubscribe<'a>(&mut self, accounts: impl IntoIterator<Item = &'a AccountName>) {
         for account in accounts {
-            self.told.remove(account);
-            self.untold.remove(account);
+            self.sent.remove(account);
+            self.unsent.remove(account);
         }
     }
 
     /// The sums that are new or changed since the last call.
     ///
     /// # Panics
-    /// When a sum went down: the host would serve that account too often.
+    /// Panics if a sum has decreased: a host with too low a sum schedules that account too often.
     pub fn next(&mut self, sums: &RelaySums) -> Vec<(AccountName, ServiceUnits)> {
         let mut changed = Vec::new();
-        // Whichever is fewer: the accounts that changed, or those asked for.
-        if sums.totals().changes_since(self.seen) < self.told.len() {
-            for account in sums.totals().since(self.seen) {
-                if let Some(told) = self.told.get_mut(account) {
-                    tell(sums, account, told, &mut changed);
+        // Iterates over the smaller set: the changed accounts or the subscribed ones.
+        if sums.totals().max_changes_since(self.version) < self.sent.len() {
+            for account in sums.totals().changed_since(self.version) {
+                if let Some(sent) = self.sent.get_mut(account) {
+                    push_if_changed(sums, account, sent, &mut changed);
                 }
             }
         } else {
-            for (account, told) in &mut self.told {
-                tell(sums, account, told, &mut changed);
+            for (account, sent) in &mut self.sent {
+                push_if_changed(sums, account, sent, &mut changed);
             }
         }
-        for account in std::mem::take(&mut self.untold) {
+        for account in std::mem::take(&mut self.unsent) {
             let total = sums.total(&account);
             changed.push((account.clone(), total));
-            self.told.insert(account, total);
+            self.sent.insert(account, total);
         }
-        self.seen = sums.totals().version();
+        self.version = sums.totals().version();
         changed
     }
 }
 
-fn tell(
+fn push_if_changed(
     sums: &RelaySums,
     account: &AccountName,
-    told: &mut ServiceUnits,
+    sent: &mut ServiceUnits,
     changed: &mut Vec<(AccountName, ServiceUnits)>,
 ) {
     let total = sums.total(account);
     assert!(
-        *told <= total,
-        "service of {account} went down from {told} to {total}"
+        *sent <= total,
+        "service of {account} decreased from {sent} to {total}"
     );
-    if *told != total {
-        *told = total;
+    if *sent != total {
+        *sent = total;
         changed.push((account.clone(), total));
     }
 }
--- a/crates/membership/src/totals.rs
+++ b/crates/membership/src/totals.rs
@@ -1,14 +1,13 @@
-//! The totals of all accounts, and in which order they changed.
+//! The totals of all accounts, indexed by the order of their changes.
 //!
-//! Load pattern answered: many hosts ask for many accounts each, and most totals stand still between
-//! two rounds. Looking every account up for every host takes time in proportion to both; following
-//! the order of the changes takes time in proportion to what changed.
+//! Many hosts subscribe to many accounts each, and few totals change between two updates. The index
+//! bounds the work of a feed by the number of changes instead of the number of accounts.
 
 use std::collections::BTreeMap;
 
 use coltsfootnotch_types::{AccountName, ServiceUnits};
 
-/// The total of each account.
+/// The total of each account, with the version of its last change.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Totals {
     version: u64,
@@ -37,14 +36,14 @@
         self.version
     }
 
-    /// A bound on how many accounts changed after `version`, without counting them.
-    pub(crate) fn changes_since(&self, version: u64) -> usize {
+    /// Upper bound of the number of accounts that changed after `version`, in constant time.
+    pub(crate) fn max_changes_since(&self, version: u64) -> usize {
         let changes = usize::try_from(self.version.saturating_sub(version)).unwrap_or(usize::MAX);
         changes.min(self.changed.len())
     }
 
     /// The accounts that changed after `version`.
-    pub(crate) fn since(&self, version: u64) -> impl Iterator<Item = &AccountName> {
+    pub(crate) fn changed_since(&self, version: u64) -> impl Iterator<Item = &AccountName> {
         self.changed
             .range(version + 1..)
             .map(|(_, account)| account)
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! What one host knows of the others.
+//! The view that a host has of the other hosts.
 
 use std::collections::BTreeMap;
 
@@ -8,40 +8,41 @@
 
 use crate::Contact;
 
-/// Changes of a host's view, from its relay.
+/// Changes of a host's view, sent by its relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewDelta {
-    /// The version that it starts from; zero for the whole view.
+    /// The version that the delta applies to; zero for a full view.
     pub from: u64,
-    /// The version that it leads to.
+    /// The version after applying the delta.
     pub to: u64,
-    /// Whether a whole view lists every host: a relay that has just started does not know all yet.
+    /// Whether a full view lists every host: a relay that has just started has not heard from all
+    /// yet.
     pub settled: bool,
-    /// Hosts that are new or have changed.
+    /// Contacts that were added or have changed.
     pub upserts: Vec<Contact>,
-    /// Hosts that are gone.
+    /// Hosts that were removed.
     pub removed: Vec<HostName>,
 }
 
-/// A delta that does not continue the view; ask the relay for the whole view.
+/// A delta that does not apply to the current version; the host must request a full view.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("a view at version {current} got a delta from version {from}")]
+#[display("the view is at version {current}, but the delta applies to version {from}")]
 pub struct ViewGap {
-    /// The version at hand.
+    /// The current version of the view.
     pub current: u64,
-    /// The version that the delta starts from.
+    /// The version that the delta applies to.
     pub from: u64,
 }
 
-/// What one host knows of the others. It is kept while no relay can be reached.
+/// The hosts that one host can connect to. The view is kept while no relay is reachable.
 ///
 /// ```
 /// use coltsfootnotch_membership::{View, ViewDelta};
-/// let whole = ViewDelta { from: 0, to: 4, settled: true, upserts: vec![], removed: vec![] };
+/// let full = ViewDelta { from: 0, to: 4, settled: true, upserts: vec![], removed: vec![] };
 /// let mut view = View::default();
-/// assert_eq!(view.apply(whole.clone())?, vec![]);
-/// let later = ViewDelta { from: 6, to: 7, ..whole };
-/// assert!(view.apply(later).is_err(), "a delta between was lost");
+/// assert_eq!(view.apply(full.clone())?, vec![]);
+/// let later = ViewDelta { from: 6, to: 7, ..full };
+/// assert!(view.apply(later).is_err(), "the delta from version 4 to 6 is missing");
 /// # Ok::<(), coltsfootnotch_membership::ViewGap>(())
 /// ```
 #[derive(Debug, Clone, Default)]
@@ -51,10 +52,10 @@
 }
 
 impl View {
-    /// Takes in a delta; returns the hosts that are new, changed or gone.
+    /// Applies a delta; returns the hosts that were added, changed or removed.
     ///
     /// # Errors
-    /// Returns a [`ViewGap`] when a delta before this one was lost; the view is then unchanged.
+    /// Returns a [`ViewGap`] if an earlier delta is missing; the view is then unchanged.
     pub fn apply(&mut self, delta: ViewDelta) -> Result<Vec<HostName>, ViewGap> {
         if delta.from != 0 && delta.from != self.version {
             let (current, from) = (self.version, delta.from);
@@ -82,24 +83,24 @@
         Ok(changed)
     }
 
-    /// The version reached.
+    /// The version of the last delta applied.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// One host.
+    /// The contact of `host`.
     #[must_use]
     pub fn get(&self, host: &HostName) -> Option<&Contact> {
         self.contacts.get(host)
     }
 
-    /// Every host.
+    /// All contacts, ordered by host name.
     pub fn contacts(&self) -> impl Iterator<Item = &Contact> {
         self.contacts.values()
     }
 
-    /// The sidecars that take new work for `pool`.
+    /// The sidecars that accept new work for `pool`.
     pub fn sidecars(&self, pool: &PoolName) -> impl Iterator<Item = &Contact> {
         self.contacts().filter(move |c| {
             let serves = c.serves.iter().any(|s| s.pool == *pool && !s.leaving);
--- a/crates/membership/tests/testsuite/directory_runs.rs
+++ b/crates/membership/tests/testsuite/directory_merge.rs
@@ -1,4 +1,4 @@
-//! Randomised deltas of summaries: lost, copied and reordered.
+//! Property tests of the directory: deltas that are lost, duplicated and reordered.
 
 use coltsfootnotch_membership::{
     Directory, HostRecord, Registry, SummaryDelta, Timing, View, ViewFeed,
@@ -6,33 +6,33 @@
 use coltsfootnotch_types::Role;
 use proptest::prelude::*;
 
-use crate::support::{beat, host, millis, profile, randomised, relay};
+use crate::support::{heartbeat, host, millis, profile, randomised, relay};
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A host starts or goes on at a relay.
-    Beat { relay: usize, host: usize, run: u64 },
-    /// A host leaves.
+    /// A run of a host sends a heartbeat to a relay.
+    Heartbeat { relay: usize, host: usize, run: u64 },
+    /// A run of a host leaves.
     Leave { relay: usize, host: usize, run: u64 },
-    /// Time passes at the relays.
-    Pass,
-    /// A relay sends its changes from some earlier version on.
+    /// Time advances at the relays.
+    Advance,
+    /// A relay sends its changes after an earlier version.
     Send { relay: usize, since: u64 },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         4 => (0usize..2, 0usize..4, 1u64..3)
-            .prop_map(|(relay, host, run)| Step::Beat { relay, host, run }),
+            .prop_map(|(relay, host, run)| Step::Heartbeat { relay, host, run }),
         1 => (0usize..2, 0usize..4, 1u64..3)
             .prop_map(|(relay, host, run)| Step::Leave { relay, host, run }),
-        2 => Just(Step::Pass),
+        2 => Just(Step::Advance),
         3 => (0usize..2, 0u64..6).prop_map(|(relay, since)| Step::Send { relay, since }),
     ];
     prop::collection::vec(step, 1..60)
 }
 
-/// Every delta that two relays send over a run, the last ones complete.
+/// Every delta that two relays send over the steps; the last two are full summaries.
 fn deltas(steps: &[Step]) -> Vec<SummaryDelta> {
     let mut now = millis(0);
     let mut seqs = [0u64; 4];
@@ -41,9 +41,9 @@
     let mut deltas = Vec::new();
     for step in steps {
         match *step {
-            Step::Beat { relay, host, run } => {
+            Step::Heartbeat { relay, host, run } => {
                 seqs[host] += 1;
-                let mut hb = beat(&format!("a-{host}"), run, seqs[host]);
+                let mut hb = heartbeat(&format!("a-{host}"), run, seqs[host]);
                 hb.attach = u32::try_from(relay).expect("two relays");
                 relays[relay].on_heartbeat(now, &hb);
             }
@@ -57,7 +57,7 @@
                     coltsfootnotch_types::Incarnation(run),
                 );
             }
-            Step::Pass => {
+            Step::Advance => {
                 now += millis(1_000);
                 relays.iter_mut().for_each(|r| r.tick(now));
             }
@@ -90,25 +90,26 @@
 proptest! {
     #![proptest_config(randomised(512, 0xd1f)) ]
 
-    /// Whatever the order and number of the deltas, directories that got the last ones are equal.
+    /// Directories that received the last deltas are equal, for any order and duplication of the
+    /// others.
     #[test]
     fn randomised_deltas_merge_alike_in_any_order(
         steps in steps(),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..80),
     ) {
         let deltas = deltas(&steps);
-        let straight = merged(&deltas);
+        let in_order = merged(&deltas);
         let last = deltas.len() - 2;
         let shuffled = order.iter().map(|i| i.get(&deltas)).chain(&deltas[last..]);
-        prop_assert_eq!(hosts(&merged(shuffled)), hosts(&straight));
-        let backwards = deltas.iter().rev().chain(&deltas[last..]);
-        prop_assert_eq!(hosts(&merged(backwards)), hosts(&straight));
+        prop_assert_eq!(hosts(&merged(shuffled)), hosts(&in_order));
+        let reversed = deltas.iter().rev().chain(&deltas[last..]);
+        prop_assert_eq!(hosts(&merged(reversed)), hosts(&in_order));
         let twice = deltas.iter().flat_map(|d| [d, d]);
-        prop_assert_eq!(hosts(&merged(twice)), hosts(&straight));
+        prop_assert_eq!(hosts(&merged(twice)), hosts(&in_order));
     }
 
-    /// A host that gets a feed with gaps, and starts anew after each, has the same view as one that
-    /// gets everything.
+    /// A host whose feed loses deltas, and restarts after each gap, ends with the same view as a
+    /// host that receives a full view.
     #[test]
     fn randomised_views_follow_the_directory(
         steps in steps(),
@@ -119,25 +120,25 @@
         let start = || ViewFeed::new(host("entry-0"), domain.clone(), Role::Entry);
         let mut directory = merged([]);
         let (mut feed, mut view) = (start(), View::default());
-        let late = millis(10_000);
+        let now = millis(10_000);
         for (delta, is_lost) in deltas.iter().zip(lost) {
-            directory.merge(late, delta);
-            if let Some(change) = feed.next(late, &directory)
+            directory.merge(now, delta);
+            if let Some(change) = feed.next(now, &directory)
                 && !is_lost
                 && view.apply(change).is_err()
             {
                 feed = start();
-                let whole = feed.next(late, &directory).expect("a first view");
-                prop_assert!(view.apply(whole).is_ok());
+                let full = feed.next(now, &directory).expect("the first delta is the full view");
+                prop_assert!(view.apply(full).is_ok());
             }
         }
         feed = start();
-        let whole = feed.next(late, &directory).expect("a first view");
-        prop_assert!(view.apply(whole).is_ok());
+        let full = feed.next(now, &directory).expect("the first delta is the full view");
+        prop_assert!(view.apply(full).is_ok());
         let mut fresh = View::default();
-        let whole = start().next(late, &directory).expect("a first view");
-        prop_assert!(fresh.apply(whole).is_ok());
-        let seen: Vec<_> = view.contacts().collect();
-        prop_assert_eq!(seen, fresh.contacts().collect::<Vec<_>>());
+        let full = start().next(now, &directory).expect("the first delta is the full view");
+        prop_assert!(fresh.apply(full).is_ok());
+        let contacts: Vec<_> = view.contacts().collect();
+        prop_assert_eq!(contacts, fresh.contacts().collect::<Vec<_>>());
     }
 }
--- a/crates/membership/tests/testsuite/main.rs
+++ b/crates/membership/tests/testsuite/main.rs
@@ -1,16 +1,16 @@
 //! Tests of membership, the directory and service sums.
 //!
-//! The randomised runs are the same at every call. A longer run with other seeds:
+//! Randomised tests use a fixed seed. To run more cases with another seed:
 //!
 //! ```text
 //! COLTSFOOTNOTCH_CASES=100000 COLTSFOOTNOTCH_SEED=1 \
 //!     cargo test --release -p coltsfootnotch-state -p coltsfootnotch-membership randomised
 //! ```
 
-mod directory_runs;
-mod growth;
-mod net;
-mod registry_runs;
-mod silence;
-mod sums_runs;
+mod directory_merge;
+mod failures;
+mod registry_heartbeats;
+mod scaling;
+mod service_sums;
+mod simulated_net;
 mod support;
--- a/crates/membership/tests/testsuite/growth.rs
+++ b/crates/membership/tests/testsuite/scaling.rs
@@ -1,4 +1,4 @@
-//! What a host knows grows with its own failure domain and not with the fleet.
+//! The view of a host grows with its own failure domain and not with the fleet.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use coltsfootnotch_types::Role;
 use googletest::prelude::*;
 
-use crate::support::{beat, host, millis, profile, relay};
+use crate::support::{heartbeat, host, millis, profile, relay};
 
 /// A directory of `domains` failure domains, each with two entries and `sidecars` sidecars.
 fn fleet(domains: usize, sidecars: usize) -> Directory {
@@ -21,7 +21,7 @@
         let entries = (0..2).map(|n| (format!("entry-{d}-{n}"), Role::Entry));
         let sidecars = (0..sidecars).map(|n| (format!("sidecar-{d}-{n}"), Role::Sidecar));
         for (name, role) in entries.chain(sidecars) {
-            let mut hb = beat(&name, 1, 1);
+            let mut hb = heartbeat(&name, 1, 1);
             let pools: &[&str] = if role == Role::Sidecar {
                 &["menu-writer"]
             } else {
@@ -37,8 +37,8 @@
 
 fn view(directory: &Directory, name: &str, role: Role) -> BTreeSet<String> {
     let domain = profile(role, "domain-0", &[]).domain;
-    let whole = ViewFeed::new(host(name), domain, role).next(millis(5_000), directory);
-    let contacts = whole.expect("a first view").upserts;
+    let full = ViewFeed::new(host(name), domain, role).next(millis(5_000), directory);
+    let contacts = full.expect("the first delta is the full view").upserts;
     contacts
         .iter()
         .map(|c| c.host.as_str().to_owned())
@@ -46,17 +46,17 @@
 }
 
 #[gtest]
-fn an_entry_knows_its_domain_and_a_bounded_number_elsewhere() {
+fn entry_has_all_sidecars_of_its_domain_and_a_bounded_number_of_others() {
     for (domains, sidecars) in [(3, 7), (3, 100), (9, 100)] {
         let directory = fleet(domains, sidecars);
         let seen = view(&directory, "entry-0-0", Role::Entry);
-        let elsewhere = sidecars.min(REMOTE_CONTACTS) * (domains - 1);
-        expect_that!(seen, len(eq(sidecars + elsewhere)));
+        let remote = sidecars.min(REMOTE_CONTACTS) * (domains - 1);
+        expect_that!(seen, len(eq(sidecars + remote)));
     }
 }
 
 #[gtest]
-fn at_todays_sizes_every_entry_reaches_every_sidecar() {
+fn entries_reach_every_sidecar_in_a_fleet_of_three_small_domains() {
     let directory = fleet(3, 7);
     expect_that!(view(&directory, "entry-0-0", Role::Entry), len(eq(21)));
     expect_that!(view(&directory, "sidecar-0-0", Role::Sidecar), len(eq(6)));
@@ -64,8 +64,8 @@
 
 #[gtest]
 fn entries_together_cover_the_sidecars_of_other_domains() {
-    // Were all entries to choose the same eight sidecars, the others would have no work while the
-    // callers of one failure domain wait.
+    // Guards against entries that all choose the same sidecars, which leaves the others without
+    // remote work.
     let directory = fleet(9, 40);
     let mut seen = BTreeSet::new();
     for d in 1..9 {
--- a/crates/membership/tests/testsuite/sums_runs.rs
+++ b/crates/membership/tests/testsuite/service_sums.rs
@@ -1,4 +1,4 @@
-//! Service sums under loss, copies, reordering, moves of hosts and restarts of relays.
+//! Service sums under message loss, duplication, reordering, failover of hosts and relay restarts.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     Replay {
         at: usize,
     },
-    Move {
+    FailOver {
         host: usize,
     },
     Exchange {
@@ -44,7 +44,7 @@
         4 => (0usize..3, flag(), flag())
             .prop_map(|(host, lose, lose_ack)| Step::Send { host, lose, lose_ack }),
         1 => any::<usize>().prop_map(|at| Step::Replay { at }),
-        1 => (0usize..3).prop_map(|host| Step::Move { host }),
+        1 => (0usize..3).prop_map(|host| Step::FailOver { host }),
         2 => (0usize..2, flag()).prop_map(|(from, lose)| Step::Exchange { from, lose }),
         1 => any::<usize>().prop_map(|at| Step::ReplayDelta { at }),
     ];
@@ -56,17 +56,17 @@
     relay: usize,
 }
 
-struct World {
+struct Simulation {
     hosts: Vec<Host>,
     relays: Vec<RelaySums>,
     feeds: Vec<SumsFeed>,
     sent: Vec<(usize, ServiceBatch)>,
     deltas: Vec<SumsDelta>,
-    truth: BTreeMap<usize, u64>,
-    doubled: u64,
+    expected: BTreeMap<usize, u64>,
+    max_double_counted: u64,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let host = |n: u64| Host {
             batches: ServiceBatches::new(host(&format!("sidecar-{n}")), Incarnation(n)),
@@ -82,8 +82,8 @@
             feeds: vec![feed; 2],
             sent: Vec::new(),
             deltas: Vec::new(),
-            truth: BTreeMap::new(),
-            doubled: 0,
+            expected: BTreeMap::new(),
+            max_double_counted: 0,
         }
     }
 
@@ -97,20 +97,20 @@
                 self.hosts[host]
                     .batches
                     .add(&name(account), ServiceUnits(units));
-                *self.truth.entry(account).or_default() += units;
+                *self.expected.entry(account).or_default() += units;
             }
             Step::Send {
                 host,
                 lose,
                 lose_ack,
             } => self.send(host, lose, lose_ack),
-            // A copy of a batch arrives late, at the relay that it was sent to.
+            // A duplicate of a batch arrives late at the same relay.
             Step::Replay { at } => {
                 if let Some((relay, batch)) = self.sent.get(at % self.sent.len().max(1)) {
                     self.relays[*relay].apply_batch(batch);
                 }
             }
-            Step::Move { host } => self.turn(host),
+            Step::FailOver { host } => self.fail_over(host),
             Step::Exchange { from, lose } => self.exchange(from, lose),
             Step::ReplayDelta { at } => {
                 if let Some(delta) = self.deltas.get(at % self.deltas.len().max(1)) {
@@ -136,12 +136,12 @@
         }
     }
 
-    /// A host turns to the other relay: the batch on its way, if any, may count at both.
-    fn turn(&mut self, n: usize) {
+    /// Connects a host to the other relay. A batch in flight may then count at both.
+    fn fail_over(&mut self, n: usize) {
         let host = &mut self.hosts[n];
         host.relay = 1 - host.relay;
         if let Some(batch) = host.batches.next() {
-            self.doubled += batch.added.iter().map(|(_, u)| u.0).sum::<u64>();
+            self.max_double_counted += batch.added.iter().map(|(_, u)| u.0).sum::<u64>();
         }
     }
 
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Lets everything arrive.
-    fn settle(&mut self) {
+    /// Delivers all pending batches and deltas.
+    fn deliver_all(&mut self) {
         for n in [0, 1, 2, 0, 1, 2] {
             self.send(n, false, false);
         }
@@ -173,34 +173,41 @@
 proptest! {
     #![proptest_config(randomised(512, 0x50a5)) ]
 
-    /// No service is lost, and none counts twice but that of a batch that was on its way when its
-    /// host turned to another relay. Both relays end with the same sums, which never go down.
+    /// No service is lost, and only batches in flight during a failover may count twice. Both
+    /// relays end with the same sums, which never decrease.
     #[test]
     fn randomised_batches_count_once(steps in steps()) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in steps {
-            world.step(step);
-            for (feed, sums) in world.feeds.iter_mut().zip(&world.relays) {
+            simulation.step(step);
+            for (feed, sums) in simulation.feeds.iter_mut().zip(&simulation.relays) {
                 feed.next(sums);
             }
         }
-        world.settle();
-        let mut more = 0;
+        simulation.deliver_all();
+        let mut excess = 0;
         for n in 0..3 {
-            let total = world.relays[0].total(&name(n)).0;
-            prop_assert_eq!(total, world.relays[1].total(&name(n)).0);
-            let truth = world.truth.get(&n).copied().unwrap_or(0);
-            prop_assert!(total >= truth, "service of account {n} is lost: {total} of {truth}");
-            more += total - truth;
+            let total = simulation.relays[0].total(&name(n)).0;
+            prop_assert_eq!(total, simulation.relays[1].total(&name(n)).0);
+            let expected = simulation.expected.get(&n).copied().unwrap_or(0);
+            prop_assert!(
+                total >= expected,
+                "service of account {n} is lost: counted {total} of {expected}"
+            );
+            excess += total - expected;
         }
-        prop_assert!(more <= world.doubled, "{more} counted twice, {} may be", world.doubled);
+        prop_assert!(
+            excess <= simulation.max_double_counted,
+            "{excess} units counted twice, at most {} allowed",
+            simulation.max_double_counted
+        );
     }
 }
 
 #[gtest]
-fn a_restarted_relay_keeps_counting_and_gets_its_earlier_sums_back() {
-    // A relay restarts without state and counts from zero under a new epoch. The others keep what it
-    // had passed on before and tell it, so that no account looks as if it had had no service.
+fn restarted_relay_recovers_its_earlier_sums_from_peers() {
+    // A restarted relay counts from zero under a new epoch. Its peers return the sums of its
+    // earlier runs, so that no total decreases.
     let bistro = account("bistro");
     let mut batches = ServiceBatches::new(host("sidecar-1"), Incarnation(1));
     let mut other = RelaySums::new(relay("control-1", 1));
@@ -210,21 +217,21 @@
             sums.merge(&delta);
         }
         batches.add(&bistro, ServiceUnits(10));
-        let ack = sums.apply_batch(batches.next().expect("a batch"));
+        let ack = sums.apply_batch(batches.next().expect("a batch is pending"));
         batches.on_ack(ack);
-        other.merge(&sums.delta_since(0).expect("a change"));
+        other.merge(&sums.delta_since(0).expect("the sums have changed"));
         expect_that!(other.total(&bistro), eq(ServiceUnits(10 * epoch)));
     }
 }
 
 #[gtest]
-fn only_accounts_that_were_asked_for_are_sent_and_only_when_they_change() {
+fn feed_sends_subscribed_accounts_only_when_they_change() {
     let (bistro, chain) = (account("bistro"), account("chain"));
     let mut sums = RelaySums::new(relay("control-0", 1));
     let mut batches = ServiceBatches::new(host("sidecar-1"), Incarnation(1));
     batches.add(&bistro, ServiceUnits(10));
     batches.add(&chain, ServiceUnits(90));
-    sums.apply_batch(batches.next().expect("a batch"));
+    sums.apply_batch(batches.next().expect("a batch is pending"));
     let mut feed = SumsFeed::default();
     feed.subscribe([&bistro]);
     expect_that!(
--- a/crates/membership/tests/testsuite/net.rs
+++ b/crates/membership/tests/testsuite/simulated_net.rs
@@ -1,4 +1,4 @@
-//! Hosts and relays on a network that loses what the test says.
+//! A simulated network of hosts and relays with programmable message loss.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -91,13 +91,13 @@
         self.relays[n] = start_relay(n, epoch, self.now);
     }
 
-    /// Runs for `span`; `lost(from, to)` says whether a message between two hosts is lost. `watch` is
-    /// called after each step.
+    /// Runs for `span`. `lost(from, to)` returns whether a message between two hosts is lost, and
+    /// `on_step` is called after each step.
     pub(crate) fn run(
         &mut self,
         span: Duration,
         mut lost: impl FnMut(&str, &str) -> bool,
-        mut watch: impl FnMut(&Self),
+        mut on_step: impl FnMut(&Self),
     ) {
         let end = self.now + span;
         while self.now < end {
@@ -107,7 +107,7 @@
                 self.step_relays(&mut lost);
                 self.send_views(&mut lost);
             }
-            watch(self);
+            on_step(self);
         }
     }
 
@@ -124,30 +124,32 @@
                 let Some(relay) = relay.filter(|r| r.up) else {
                     continue;
                 };
-                let (me, it) = (host.name.as_str(), to.host.as_str());
+                let (host_name, relay_name) = (host.name.as_str(), to.host.as_str());
                 match action {
                     LinkAction::ConnectTo(_) => {
                         self.relays.iter_mut().for_each(|r| {
                             r.feeds.remove(&host.name);
                         });
                     }
-                    LinkAction::Heartbeat(hb) if !lost(me, it) => {
+                    LinkAction::Heartbeat(hb) if !lost(host_name, relay_name) => {
                         let reply = relay.registry.on_heartbeat(now, &hb);
-                        let role = match me.starts_with("entry") {
+                        let role = match host_name.starts_with("entry") {
                             true => Role::Entry,
                             false => Role::Sidecar,
                         };
                         relay.feeds.entry(host.name.clone()).or_insert_with(|| {
-                            let n = me.len() - 1;
-                            let domain = DOMAINS[me[n..].parse::<usize>().unwrap_or(0)];
+                            let n = host_name.len() - 1;
+                            let domain = DOMAINS[host_name[n..].parse::<usize>().unwrap_or(0)];
                             let domain = profile(role, domain, &[]).domain;
                             ViewFeed::new(host.name.clone(), domain, role)
                         });
-                        if !lost(it, me) {
+                        if !lost(relay_name, host_name) {
                             host.link.on_reply(now, &to.host, &reply);
                         }
                     }
-                    LinkAction::Probe(_) if !lost(me, it) && !lost(it, me) => {
+                    LinkAction::Probe(_)
+                        if !lost(host_name, relay_name) && !lost(relay_name, host_name) =>
+                    {
                         host.link.on_probe_reply(&to.host);
                     }
                     _ => {}
@@ -191,13 +193,13 @@
                     continue;
                 };
                 if !lost(relay.id.host.as_str(), name.as_str()) {
-                    host.view.apply(delta).expect("a feed without gaps");
+                    host.view.apply(delta).expect("the feed has no gaps");
                 }
             }
         }
     }
 
-    /// Starts with every host registered and every view filled.
+    /// Creates a network in which every host is registered and every view is complete.
     pub(crate) fn settled() -> Self {
         let mut net = Self::new();
         net.run(millis(4_000), |_, _| false, |_| {});
@@ -207,14 +209,14 @@
                 "{} is not registered",
                 host.name
             );
-            let others = if host.name.as_str().starts_with("entry") {
+            let expected = if host.name.as_str().starts_with("entry") {
                 6
             } else {
                 3
             };
             assert_eq!(
                 host.view.contacts().count(),
-                others,
+                expected,
                 "view of {}",
                 host.name
             );
@@ -222,7 +224,7 @@
         net
     }
 
-    /// What happened to `name` at any relay, in order.
+    /// The events of `name` at all relays, in order for each relay.
     pub(crate) fn events(&self, name: &str) -> Vec<MemberEventKind> {
         let events = self.relays.iter().flat_map(|r| &r.events);
         let of_host = events.filter(|(host, _)| host.as_str() == name);
--- a/crates/membership/tests/testsuite/support.rs
+++ b/crates/membership/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! What several test files need.
+//! Helpers shared by the tests.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -9,8 +9,8 @@
 };
 use proptest::test_runner::{Config, RngSeed};
 
-/// The same verdict at every run, unless a longer run is asked for by `COLTSFOOTNOTCH_CASES` and
-/// `COLTSFOOTNOTCH_SEED`.
+/// Configuration with a fixed seed; `COLTSFOOTNOTCH_CASES` and `COLTSFOOTNOTCH_SEED` override the
+/// number of cases and the seed.
 pub(crate) fn randomised(cases: u32, seed: u64) -> Config {
     let number = |name| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
     let cases = number("COLTSFOOTNOTCH_CASES").map_or(cases, |n| u32::try_from(n).unwrap_or(cases));
@@ -57,8 +57,8 @@
     }
 }
 
-/// A heartbeat of a sidecar.
-pub(crate) fn beat(name: &str, incarnation: u64, seq: u64) -> Heartbeat {
+/// Creates a heartbeat of a sidecar.
+pub(crate) fn heartbeat(name: &str, incarnation: u64, seq: u64) -> Heartbeat {
     Heartbeat {
         host: host(name),
         incarnation: Incarnation(incarnation),
