--- a/src/coltsfootnotch/daemon/control/relay.rs
+++ b/src/coltsfootnotch/daemon/control/relay.rs
@@ -45,7 +45,7 @@
 
     /// Records a host's heartbeat; returns `false` if a later incarnation has registered.
     pub(super) fn heartbeat(&mut self, now: Duration, heartbeat: &MemberHeartbeat) -> bool {
-        let reply = self.registry.heartbeat(now, heartbeat);
+        let reply = self.registry.on_heartbeat(now, heartbeat);
         let replaced = coltsfootnotch_membership::HeartbeatReply::Replaced;
         reply != replaced
     }
@@ -72,7 +72,7 @@
         run: Incarnation,
         batch: &ServiceBatch,
     ) -> u64 {
-        self.sums.take(&MemberBatch {
+        self.sums.apply_batch(&MemberBatch {
             host: host.clone(),
             incarnation: run,
             seq: batch.seq,
@@ -113,7 +113,7 @@
                 event.kind,
                 MemberEventKind::Replaced | MemberEventKind::Left
             ) {
-                self.sums.forget(&event.host, event.incarnation);
+                self.sums.remove_run(&event.host, event.incarnation);
             }
         }
         events
