--- a/crates/manifest/examples/reference.rs
+++ b/crates/manifest/examples/reference.rs
@@ -1,4 +1,4 @@
-//! Prints the tables of `docs/SETTINGS.md`, to be put there when a key changes.
+//! Prints the tables of `docs/SETTINGS.md`, which are updated when a key changes.
 
 use coltsfootnotch_manifest::{MANIFEST_KEYS, SETTINGS_KEYS, reference};
 
--- a/crates/manifest/examples/sizes.rs
+++ b/crates/manifest/examples/sizes.rs
@@ -1,5 +1,6 @@
-//! Prints what manifests of several sizes cost: bytes of the body, of the same in postcard and of a
-//! delta that changes one account; times to parse, to apply the delta and to build the index.
+//! Prints sizes and times of manifests with increasing numbers of accounts: bytes of the body, of
+//! the postcard encoding and of a delta of one account; time to parse, apply the delta and build
+//! the index.
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -22,10 +23,10 @@
         new.accounts[accounts / 2].weight = Weight::new(7).expect("7 is a weight");
         let delta = ManifestDelta::between(&old, &new);
         let delta_bytes = postcard::to_allocvec(&delta)
-            .expect("a delta can be written")
+            .expect("a delta can be encoded")
             .len();
         let postcard_bytes = postcard::to_allocvec(&new)
-            .expect("a manifest can be written")
+            .expect("a manifest can be encoded")
             .len();
         let (applied, apply) = timed(|| delta.apply(&old));
         assert_eq!(applied.as_ref(), Ok(&new));
@@ -41,7 +42,7 @@
     }
 }
 
-/// A manifest of so many accounts and 20 models.
+/// A manifest with the given number of accounts and 20 models.
 fn text(accounts: usize) -> String {
     let mut text = "{ \"number\": 1, \"models\": [".to_owned();
     for model in 0..20 {
@@ -60,9 +61,9 @@
     text
 }
 
-fn timed<T>(work: impl FnOnce() -> T) -> (T, Duration) {
+fn timed<T>(operation: impl FnOnce() -> T) -> (T, Duration) {
     let start = Instant::now();
-    let result = work();
+    let result = operation();
     (result, start.elapsed())
 }
 
--- a/crates/manifest/src/config_index.rs
+++ b/crates/manifest/src/config_index.rs
@@ -1,4 +1,4 @@
-//! Look-ups in the configuration in force, made once per change and read by every request.
+//! Indexes over the configuration in force, built once per change and read by every request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,40 +8,40 @@
 
 use crate::{Account, Call, Digest, Manifest, Method, Model, Service};
 
-/// A manifest with its look-ups.
+/// A manifest and the indexes over its lists.
 ///
-/// A request pins the index it arrived under by its [`Arc`], so a change in the middle of a request
-/// cannot mix two configurations.
+/// A request holds an [`Arc`] of the index that was in force when it arrived, so a change during
+/// the request cannot mix two configurations.
 #[derive(Debug)]
 pub struct ConfigIndex {
     manifest: Arc<Manifest>,
     digest: Digest,
-    by_key: HashMap<[u8; 32], usize>,
-    by_account: HashMap<AccountName, usize>,
-    models: HashMap<PoolName, usize>,
-    services: HashMap<PoolName, usize>,
-    /// Services by the length of their prefix, longest first, so that `/a/b` goes before `/a`.
-    by_prefix: Vec<usize>,
+    account_by_key_hash: HashMap<[u8; 32], usize>,
+    account_by_name: HashMap<AccountName, usize>,
+    model_by_name: HashMap<PoolName, usize>,
+    service_by_name: HashMap<PoolName, usize>,
+    /// Services by the length of their prefix, longest first, so that `/a/b` matches before `/a`.
+    services_by_prefix_len: Vec<usize>,
 }
 
-/// What a method and a path mean under a configuration.
+/// The result of matching the method and path of a request against the services.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallMatch<'m> {
     /// The path is under no service.
     NoService,
-    /// The path is under a service that lists no such call.
+    /// The path is under a service that lists no matching call.
     NoCall(&'m Service),
     /// A listed call.
     Call {
         /// The service.
         service: &'m Service,
-        /// The call; it says whether it may be repeated.
+        /// The call.
         call: &'m Call,
     },
 }
 
 impl ConfigIndex {
-    /// Builds the look-ups of a manifest.
+    /// Builds the indexes of a manifest.
     ///
     /// ```
     /// use coltsfootnotch_manifest::{ConfigIndex, KeyHash, Manifest};
@@ -59,27 +59,31 @@
         let manifest = manifest.into();
         let digest = manifest.digest();
         let accounts = || manifest.accounts.iter().enumerate();
-        let keys = |(at, account): (usize, &Account)| {
+        let key_hashes = |(index, account): (usize, &Account)| {
             account
                 .key_hashes
                 .iter()
-                .map(move |hash| (hash.0, at))
+                .map(move |hash| (hash.0, index))
                 .collect::<Vec<_>>()
         };
         let models = manifest.models.iter().enumerate();
         let services = manifest.services.iter().enumerate();
-        let mut by_prefix: Vec<usize> = (0..manifest.services.len()).collect();
-        by_prefix.sort_by_key(|at| std::cmp::Reverse(manifest.services[*at].prefix.as_str().len()));
+        let mut services_by_prefix_len: Vec<usize> = (0..manifest.services.len()).collect();
+        services_by_prefix_len.sort_by_key(|index| {
+            std::cmp::Reverse(manifest.services[*index].prefix.as_str().len())
+        });
         Self {
-            by_key: accounts().flat_map(keys).collect(),
-            by_account: accounts()
-                .map(|(at, account)| (account.name.clone(), at))
+            account_by_key_hash: accounts().flat_map(key_hashes).collect(),
+            account_by_name: accounts()
+                .map(|(index, account)| (account.name.clone(), index))
                 .collect(),
-            models: models.map(|(at, model)| (model.name.clone(), at)).collect(),
-            services: services
-                .map(|(at, service)| (service.name.clone(), at))
+            model_by_name: models
+                .map(|(index, model)| (model.name.clone(), index))
                 .collect(),
-            by_prefix,
+            service_by_name: services
+                .map(|(index, service)| (service.name.clone(), index))
+                .collect(),
+            services_by_prefix_len,
             digest,
             manifest,
         }
@@ -91,55 +95,60 @@
         &self.manifest
     }
 
-    /// Its number.
+    /// The number of the manifest.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.manifest.number
     }
 
-    /// Its digest.
+    /// The digest of the manifest.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// The account that owns the bearer key of this SHA-256.
+    /// The account whose bearer key has this SHA-256 hash.
     #[must_use]
     pub fn account_of_key(&self, hash: &[u8; 32]) -> Option<&Account> {
-        self.by_key.get(hash).map(|at| &self.manifest.accounts[*at])
+        self.account_by_key_hash
+            .get(hash)
+            .map(|index| &self.manifest.accounts[*index])
     }
 
     /// The account of this name.
     #[must_use]
     pub fn account(&self, name: &str) -> Option<&Account> {
-        self.by_account
+        self.account_by_name
             .get(name)
-            .map(|at| &self.manifest.accounts[*at])
+            .map(|index| &self.manifest.accounts[*index])
     }
 
     /// The model of this name.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<&Model> {
-        self.models.get(name).map(|at| &self.manifest.models[*at])
+        self.model_by_name
+            .get(name)
+            .map(|index| &self.manifest.models[*index])
     }
 
     /// The service of this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
-        self.services
+        self.service_by_name
             .get(name)
-            .map(|at| &self.manifest.services[*at])
+            .map(|index| &self.manifest.services[*index])
     }
 
-    /// What a method and a path mean; a query in the path is left out of account.
+    /// Matches a method and a path against the services; a query in the path is ignored.
     #[must_use]
     pub fn service_call(&self, method: &str, path: &str) -> CallMatch<'_> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
-        let within = |at: &usize| {
-            let service = &self.manifest.services[*at];
+        let strip_prefix = |index: &usize| {
+            let service = &self.manifest.services[*index];
             service.path_within(path).map(|rest| (service, rest))
         };
-        let Some((service, rest)) = self.by_prefix.iter().find_map(within) else {
+        let Some((service, rest)) = self.services_by_prefix_len.iter().find_map(strip_prefix)
+        else {
             return CallMatch::NoService;
         };
         match find_call(service, Method::parse(method), rest) {
@@ -148,25 +157,26 @@
         }
     }
 
-    /// The time a request of `account` in a pool has: the shorter of the pool's and the class's.
+    /// The deadline of a request of `account` in a pool: the shorter of the deadlines of the pool
+    /// and of the account's class. `None` if there is no such pool.
     #[must_use]
     pub fn deadline(&self, account: &Account, pool: &str) -> Option<Duration> {
-        let of_model = self.model(pool).map(Model::deadline);
-        let of_pool = of_model.or_else(|| self.service(pool).map(Service::deadline))?;
-        let is_class = |name: &&String| account.class.as_ref() == Some(*name);
+        let model_deadline = self.model(pool).map(Model::deadline);
+        let pool_deadline = model_deadline.or_else(|| self.service(pool).map(Service::deadline))?;
+        let is_own_class = |name: &&String| account.class.as_ref() == Some(*name);
         let class = self
             .manifest
             .classes
             .iter()
-            .find(|class| is_class(&&class.name));
-        Some(class.map_or(of_pool, |class| of_pool.min(class.deadline())))
+            .find(|class| is_own_class(&&class.name));
+        Some(class.map_or(pool_deadline, |class| pool_deadline.min(class.deadline())))
     }
 }
 
-/// The call that fits; of several, one that may not be repeated, since sending that twice by mistake
-/// does harm and sending the other once does not.
+/// The listed call that matches. Of several, a call that may not be repeated is preferred: sending
+/// it twice does harm, while not retrying a repeatable call does not.
 fn find_call<'m>(service: &'m Service, method: Option<Method>, path: &str) -> Option<&'m Call> {
-    let fits = |call: &&Call| Some(call.method) == method && call.path.matches(path);
-    let fitting = service.calls.iter().filter(fits);
-    fitting.min_by_key(|call| call.repeatable)
+    let is_match = |call: &&Call| Some(call.method) == method && call.path.matches(path);
+    let matching = service.calls.iter().filter(is_match);
+    matching.min_by_key(|call| call.repeatable)
 }
--- a/crates/manifest/src/delta.rs
+++ b/crates/manifest/src/delta.rs
@@ -1,8 +1,8 @@
-//! The difference of two manifests, sent in place of the whole.
+//! Differences between two manifests, sent in place of a full manifest.
 //!
-//! 510 changes a day each touch one or a few accounts; a whole manifest of 5,700 accounts is over a
-//! megabyte. A host that has the old manifest gets what changed and proves by the digest that it now
-//! has the new one.
+//! Most changes touch one or a few accounts, while a manifest of 5,700 accounts takes over a
+//! megabyte. A host that has the old manifest receives only what changed and verifies the result by
+//! its digest.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -11,26 +11,26 @@
     Account, Class, Digest, Ledger, MAX_BODY_BYTES, Manifest, Model, Service, WeightStore,
 };
 
-/// Why a delta does not apply.
+/// An error from decoding or applying a delta.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum DeltaError {
-    /// The delta starts from another manifest.
-    #[display("a delta starts from {expected}, not from {found}")]
-    OtherBase {
-        /// Digest the delta starts from.
+    /// The delta applies to another manifest.
+    #[display("the delta applies to manifest {expected}, not to {found}")]
+    BaseMismatch {
+        /// Digest of the manifest that the delta applies to.
         expected: Digest,
-        /// Digest of the manifest at hand.
+        /// Digest of the given manifest.
         found: Digest,
     },
-    /// The bytes are no delta, or longer than a whole manifest may be.
-    #[display("{len} bytes are not a delta")]
-    Bytes {
-        /// Length found, in bytes.
+    /// The bytes are not a delta, or are longer than [`MAX_BODY_BYTES`].
+    #[display("malformed manifest delta of {len} bytes")]
+    Malformed {
+        /// Length of the input, in bytes.
         len: usize,
     },
-    /// The result is not the manifest that the sender has.
-    #[display("a delta gives {found} in place of {expected}")]
-    OtherResult {
+    /// The result differs from the sender's manifest.
+    #[display("the delta results in manifest {found}, expected {expected}")]
+    ResultMismatch {
         /// Digest of the sender's manifest.
         expected: Digest,
         /// Digest of the result.
@@ -42,67 +42,69 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListDelta<T> {
     /// Elements that are new or changed.
-    pub put: Vec<T>,
-    /// Names of elements that are gone.
+    pub upserted: Vec<T>,
+    /// Names of elements that were removed.
     pub removed: Vec<String>,
 }
 
 impl<T: Clone + PartialEq> ListDelta<T> {
     fn between(old: &[T], new: &[T], name: impl Fn(&T) -> &str) -> Self {
-        let position = |list: &[T], wanted: &str| {
-            list.binary_search_by(|element| name(element).cmp(wanted))
-                .ok()
-        };
-        let changed = |element: &&T| match position(old, name(element)) {
-            Some(at) => old[at] != **element,
+        let position =
+            |list: &[T], key: &str| list.binary_search_by(|element| name(element).cmp(key)).ok();
+        let is_changed = |element: &&T| match position(old, name(element)) {
+            Some(index) => old[index] != **element,
             None => true,
         };
-        let gone = |element: &&T| position(new, name(element)).is_none();
+        let is_removed = |element: &&T| position(new, name(element)).is_none();
         Self {
-            put: new.iter().filter(changed).cloned().collect(),
+            upserted: new.iter().filter(is_changed).cloned().collect(),
             removed: old
                 .iter()
-                .filter(gone)
+                .filter(is_removed)
                 .map(|element| name(element).to_owned())
                 .collect(),
         }
     }
 
     fn apply(&self, old: &[T], name: impl Fn(&T) -> &str) -> Vec<T> {
-        let replaced = |element: &T| self.put.iter().any(|put| name(put) == name(element));
-        let removed = |element: &T| self.removed.iter().any(|gone| gone == name(element));
-        let kept = old
+        let is_replaced = |element: &T| {
+            self.upserted
+                .iter()
+                .any(|upserted| name(upserted) == name(element))
+        };
+        let is_removed = |element: &T| self.removed.iter().any(|removed| removed == name(element));
+        let unchanged = old
             .iter()
-            .filter(|element| !replaced(element) && !removed(element));
-        kept.chain(&self.put).cloned().collect()
+            .filter(|element| !is_replaced(element) && !is_removed(element));
+        unchanged.chain(&self.upserted).cloned().collect()
     }
 }
 
 /// What changed from one manifest to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ManifestDelta {
-    /// Digest of the manifest it starts from.
+    /// Digest of the manifest that the delta applies to.
     pub from: Digest,
-    /// Digest of the manifest it gives.
+    /// Digest of the resulting manifest.
     pub to: Digest,
-    /// Number of the manifest it gives.
+    /// Number of the resulting manifest.
     pub number: u64,
-    /// Accounts.
+    /// Changed accounts.
     pub accounts: ListDelta<Account>,
-    /// Classes.
+    /// Changed classes.
     pub classes: ListDelta<Class>,
-    /// Models.
+    /// Changed models.
     pub models: ListDelta<Model>,
-    /// Services.
+    /// Changed services.
     pub services: ListDelta<Service>,
-    /// The store of model weights, as it is in the new manifest.
+    /// Limits of the weight store in the new manifest.
     pub weight_store: WeightStore,
-    /// The ledger, as it is in the new manifest.
+    /// Ledger settings of the new manifest.
     pub ledger: Ledger,
 }
 
 impl ManifestDelta {
-    /// The delta that turns `old` into `new`.
+    /// Computes the delta that turns `old` into `new`.
     ///
     /// ```
     /// use coltsfootnotch_manifest::{Manifest, ManifestDelta};
@@ -127,33 +129,33 @@
         }
     }
 
-    /// The bytes in which the delta travels.
+    /// Encodes the delta in postcard.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
-        postcard::to_allocvec(self).expect("a delta has no type that postcard refuses")
+        postcard::to_allocvec(self).expect("all types of a delta are supported by postcard")
     }
 
-    /// Reads the bytes in which a delta travelled.
+    /// Decodes a delta from postcard.
     ///
     /// # Errors
-    /// Returns [`DeltaError::Bytes`] when the bytes are too many or not a delta; the receiver then asks
-    /// for the whole manifest.
+    /// Returns [`DeltaError::Malformed`] when the input is too long or not a delta; the receiver
+    /// then requests the full manifest.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, DeltaError> {
         if bytes.len() > MAX_BODY_BYTES {
-            return Err(DeltaError::Bytes { len: bytes.len() });
+            return Err(DeltaError::Malformed { len: bytes.len() });
         }
-        postcard::from_bytes(bytes).map_err(|_| DeltaError::Bytes { len: bytes.len() })
+        postcard::from_bytes(bytes).map_err(|_| DeltaError::Malformed { len: bytes.len() })
     }
 
-    /// The manifest that the delta gives from `old`.
+    /// Applies the delta to `old` and returns the new manifest.
     ///
     /// # Errors
-    /// Returns a [`DeltaError`] when `old` is not the manifest the delta starts from, or the result is
-    /// not the one the sender has; the receiver then asks for the whole manifest.
+    /// Returns a [`DeltaError`] when the delta applies to a manifest other than `old`, or the
+    /// result differs from the sender's manifest; the receiver then requests the full manifest.
     pub fn apply(&self, old: &Manifest) -> Result<Manifest, DeltaError> {
         let found = old.digest();
         if found != self.from {
-            return Err(DeltaError::OtherBase {
+            return Err(DeltaError::BaseMismatch {
                 expected: self.from,
                 found,
             });
@@ -172,7 +174,7 @@
         if found == self.to {
             Ok(new)
         } else {
-            Err(DeltaError::OtherResult {
+            Err(DeltaError::ResultMismatch {
                 expected: self.to,
                 found,
             })
--- a/crates/manifest/src/digest.rs
+++ b/crates/manifest/src/digest.rs
@@ -1,4 +1,4 @@
-//! The SHA-256 digest by which hosts name a configuration.
+//! The SHA-256 digest that identifies a configuration.
 
 use std::fmt;
 
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// A SHA-256 digest, shown in hex.
+/// A SHA-256 digest, displayed in hex.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[debug("{self}")]
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     ///
     /// ```
     /// let digest = coltsfootnotch_manifest::Digest::of(b"");
--- a/crates/manifest/src/nearest.rs
+++ b/crates/manifest/src/edit_distance.rs
@@ -1,23 +1,27 @@
-//! The known word nearest to a misspelt one.
+//! Suggestions for misspelt words.
 
-/// Longest word that is compared; the comparison costs the product of the lengths.
-const MAX_COMPARED: usize = 64;
+/// Longest word in bytes that is compared; the cost is the product of the lengths.
+const MAX_WORD_BYTES: usize = 64;
 
-/// The word of `known` that takes the fewest edits to reach, if a third of its letters or fewer
-/// would change; farther words are no help to the reader.
-pub(crate) fn nearest<'k>(word: &str, known: impl IntoIterator<Item = &'k str>) -> Option<&'k str> {
-    if word.len() > MAX_COMPARED {
+/// The candidate with the smallest edit distance to `word`, if at most a third of its letters
+/// differ.
+pub(crate) fn closest_match<'c>(
+    word: &str,
+    candidates: impl IntoIterator<Item = &'c str>,
+) -> Option<&'c str> {
+    if word.len() > MAX_WORD_BYTES {
         return None;
     }
-    let scored = known
+    let scored = candidates
         .into_iter()
-        .map(|candidate| (edits(word, candidate), candidate));
+        .map(|candidate| (edit_distance(word, candidate), candidate));
     let (distance, candidate) = scored.min()?;
     let longest = word.chars().count().max(candidate.chars().count());
     (distance * 3 <= longest.max(3)).then_some(candidate)
 }
 
-fn edits(from: &str, to: &str) -> usize {
+/// The Levenshtein distance.
+fn edit_distance(from: &str, to: &str) -> usize {
     let to: Vec<char> = to.chars().collect();
     let mut row: Vec<usize> = (0..=to.len()).collect();
     for (i, a) in from.chars().enumerate() {
--- a/crates/manifest/src/finding.rs
+++ b/crates/manifest/src/finding.rs
@@ -1,4 +1,4 @@
-//! One problem in a text, with its place.
+//! One problem in a text, with its position.
 
 use std::fmt;
 
@@ -11,9 +11,9 @@
     pub line: usize,
     /// Column in characters, counted from 1.
     pub column: usize,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What to do about it, where that can be said.
+    /// How to fix it, if known.
     pub help: Option<String>,
 }
 
--- a/crates/manifest/src/findings.rs
+++ b/crates/manifest/src/findings.rs
@@ -7,18 +7,18 @@
 
 use crate::Finding;
 
-/// Findings kept for one text. A generated manifest with one fault per account would otherwise
-/// print thousands of lines, and a hostile text could make the report larger than itself.
+/// Most findings kept for one text; further ones are counted. Bounds the report on a generated
+/// manifest with an error in every account, and on hostile texts.
 const MAX_FINDINGS: usize = 200;
 
-/// The findings of one text, in the order of their places.
+/// The findings of one text, ordered by position.
 ///
-/// Displays one `file:line:col: message` a finding, each followed by its `help:` line.
+/// Displayed as one `file:line:col: message` per finding, each followed by its `help:` line.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct Findings {
     file: String,
     kept: BTreeSet<Finding>,
-    left_out: usize,
+    omitted: usize,
 }
 
 impl Findings {
@@ -26,7 +26,7 @@
         Self {
             file: file.to_owned(),
             kept: BTreeSet::new(),
-            left_out: 0,
+            omitted: 0,
         }
     }
 
@@ -35,40 +35,40 @@
             return;
         }
         if self.is_full() {
-            self.leave_out();
+            self.count_omitted();
         } else {
             self.kept.insert(finding);
         }
     }
 
-    /// Whether further findings are only counted.
+    /// Whether further findings are counted but not kept.
     pub(crate) fn is_full(&self) -> bool {
         self.kept.len() >= MAX_FINDINGS
     }
 
-    pub(crate) fn leave_out(&mut self) {
-        self.left_out += 1;
+    pub(crate) fn count_omitted(&mut self) {
+        self.omitted += 1;
     }
 
-    /// Whether nothing was found.
+    /// Whether there are no findings.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.kept.is_empty()
     }
 
-    /// How many findings there are, those left out of the report included.
+    /// Number of findings, including those omitted from the report.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.kept.len() + self.left_out
+        self.kept.len() + self.omitted
     }
 
-    /// The name of the text, as given to `parse`.
+    /// The file name given to `parse`.
     #[must_use]
     pub fn file(&self) -> &str {
         &self.file
     }
 
-    /// The findings in the order of their places; at most 200.
+    /// The reported findings, at most 200, ordered by position.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.kept.iter()
     }
@@ -76,14 +76,14 @@
 
 impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, finding) in self.kept.iter().enumerate() {
-            if at > 0 {
+        for (index, finding) in self.kept.iter().enumerate() {
+            if index > 0 {
                 writeln!(f)?;
             }
             write!(f, "{}:{finding}", self.file)?;
         }
-        if self.left_out > 0 {
-            write!(f, "\n{}: and {} more findings", self.file, self.left_out)?;
+        if self.omitted > 0 {
+            write!(f, "\n{}: and {} more findings", self.file, self.omitted)?;
         }
         Ok(())
     }
--- a/crates/manifest/src/key_hash.rs
+++ b/crates/manifest/src/key_hash.rs
@@ -1,4 +1,4 @@
-//! The hash by which a manifest names a caller's key.
+//! The hash that identifies a bearer key in a manifest.
 
 use std::fmt;
 
@@ -7,19 +7,19 @@
 
 use crate::Digest;
 
-/// Why a text is not a key hash.
+/// An error from parsing a key hash.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("a key hash is not 64 lower-case hex digits")]
+#[display("a key hash must be 64 lower-case hex digits")]
 pub struct KeyHashError;
 
-/// The SHA-256 of a bearer key; the key itself is in no file of the fleet.
+/// The SHA-256 hash of a bearer key; a manifest never contains the key itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 #[debug("{self}")]
 pub struct KeyHash(pub [u8; 32]);
 
 impl KeyHash {
-    /// The hash of a bearer key as the caller sends it.
+    /// Hashes a bearer key.
     ///
     /// ```
     /// use coltsfootnotch_manifest::KeyHash;
@@ -32,7 +32,7 @@
         Self(Digest::of(key.as_bytes()).0)
     }
 
-    /// Reads 64 lower-case hex digits.
+    /// Parses 64 lower-case hex digits.
     ///
     /// # Errors
     /// Returns a [`KeyHashError`] for any other text.
@@ -45,8 +45,8 @@
             return Err(KeyHashError);
         }
         let mut hash = [0; 32];
-        for (at, byte) in hash.iter_mut().enumerate() {
-            let digits = &text[at * 2..at * 2 + 2];
+        for (index, byte) in hash.iter_mut().enumerate() {
+            let digits = &text[index * 2..index * 2 + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| KeyHashError)?;
         }
         Ok(Self(hash))
--- a/crates/manifest/src/lib.rs
+++ b/crates/manifest/src/lib.rs
@@ -1,25 +1,24 @@
-//! Settings and manifests: JSON with comments, checked, with findings by place.
+//! Parsing and validation of settings and manifests, which are written as JSON with comments.
 //!
-//! A text is parsed into a syntax tree with positions, walked against a table of [`Key`]s that holds
-//! type, range, default and description of every key, and checked for duplicates and dangling
-//! references. Every problem becomes a [`Finding`]; all of them are reported together, since an
-//! operator who mends one key per run of `check` gives up. Only a text without findings becomes a
-//! [`Settings`] or a [`Manifest`].
+//! A text is parsed into a syntax tree with positions, validated against a table of [`Key`]s that
+//! holds type, range, default and description of every key, and checked for duplicates and dangling
+//! references. Every problem becomes a [`Finding`] with its line and column, and all findings are
+//! reported together. Only a text without findings becomes a [`Settings`] or a [`Manifest`].
 //!
 //! Settings describe one daemon and are read once when it starts. A manifest describes the whole
-//! fleet: it is applied by an operator, committed in the replicated log in its canonical form
-//! ([`Manifest::to_body`]), sent to every host whole or as a [`ManifestDelta`], and looked up there
-//! through a [`ConfigIndex`].
+//! fleet: an operator applies it, the replicated log commits it in its canonical form
+//! ([`Manifest::to_body`]), and every host receives it in full or as a [`ManifestDelta`] and looks
+//! up entries through a [`ConfigIndex`].
 
 mod config_index;
 mod delta;
 mod digest;
+mod edit_distance;
 mod finding;
 mod findings;
 mod key_hash;
 mod line_index;
 mod manifest;
-mod nearest;
 mod path_pattern;
 mod reference;
 mod schema;
@@ -38,11 +37,11 @@
 };
 pub use path_pattern::{PathPattern, PathPatternError};
 pub use reference::reference;
-pub use schema::{Key, Kind, MANIFEST_KEYS, Need, SETTINGS_KEYS};
+pub use schema::{Key, Kind, MANIFEST_KEYS, Presence, SETTINGS_KEYS};
 pub use settings::{ControlHost, KeyFiles, Limits, Listen, Log, LogLevel, Settings};
 pub use text_kind::{TextKind, TextKindError};
 
-/// The types that users of settings and manifests nearly always need.
+/// The most commonly used types of this crate.
 pub mod prelude {
     pub use crate::{ConfigIndex, Findings, Manifest, ManifestDelta, Settings};
 }
--- a/crates/manifest/src/line_index.rs
+++ b/crates/manifest/src/line_index.rs
@@ -1,19 +1,19 @@
-//! From byte offsets to lines and columns.
+//! Conversion of byte offsets to lines and columns.
 
 use std::cell::Cell;
 
-/// The starts of the lines of a text.
+/// The line starts of a text.
 pub(crate) struct LineIndex<'a> {
     text: &'a str,
     starts: Vec<usize>,
-    /// The offset asked for last and its column. Findings come nearly in order, so the next column is
-    /// counted on from there; without it a long text in one line is counted anew for each finding.
+    /// The last offset looked up and its column. Findings come nearly in order, so counting on from
+    /// here avoids rescanning a long line for each of them.
     last: Cell<(usize, usize)>,
 }
 
 impl<'a> LineIndex<'a> {
     pub(crate) fn new(text: &'a str) -> Self {
-        let after_breaks = text.match_indices('\n').map(|(at, _)| at + 1);
+        let after_breaks = text.match_indices('\n').map(|(offset, _)| offset + 1);
         let starts = std::iter::once(0).chain(after_breaks).collect();
         Self {
             text,
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Line and column of a byte offset, both from 1, columns in characters.
-    pub(crate) fn place(&self, offset: usize) -> (usize, usize) {
+    /// Line and column of a byte offset, both counted from 1, columns in characters.
+    pub(crate) fn line_column(&self, offset: usize) -> (usize, usize) {
         let line = self.starts.partition_point(|start| *start <= offset).max(1);
         let start = self.starts[line - 1];
         let (last, column) = self.last.get();
--- a/crates/manifest/src/manifest/account.rs
+++ b/crates/manifest/src/manifest/account.rs
@@ -12,21 +12,21 @@
     pub name: AccountName,
     /// Hashes of its bearer keys.
     pub key_hashes: Vec<KeyHash>,
-    /// Share of contended capacity.
+    /// Weight in the sharing of contended capacity.
     pub weight: Weight,
     /// Name of its class.
     pub class: Option<String>,
-    /// Bounds on this account alone.
+    /// Limits of this account.
     pub limits: AccountLimits,
 }
 
-/// Bounds on one account at one entry host.
+/// Limits of one account at one entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountLimits {
-    /// Requests that wait at once.
+    /// Most queued requests.
     pub queue: usize,
-    /// Requests that run at once.
+    /// Most running requests.
     pub in_flight: Option<usize>,
-    /// Requests admitted a second.
+    /// Most requests admitted per second.
     pub requests_per_s: Option<u32>,
 }
--- a/crates/manifest/src/manifest/class.rs
+++ b/crates/manifest/src/manifest/class.rs
@@ -9,12 +9,12 @@
 pub struct Class {
     /// Name of the class.
     pub name: String,
-    /// Time a request has from arrival to its last byte, in milliseconds.
+    /// Longest time from arrival to the last byte of the answer, in milliseconds.
     pub deadline_ms: u64,
 }
 
 impl Class {
-    /// The time a request has from arrival to its last byte.
+    /// Longest time from arrival to the last byte of the answer.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
--- a/crates/manifest/src/manifest/mod.rs
+++ b/crates/manifest/src/manifest/mod.rs
@@ -1,4 +1,4 @@
-//! The manifest: what the whole fleet is told.
+//! The manifest: the configuration of the whole fleet.
 
 mod account;
 mod class;
@@ -13,24 +13,24 @@
 use derive_more::{Display, Error, From};
 use serde::{Deserialize, Serialize};
 
-use crate::schema::{MANIFEST_KEYS, Tree, read};
+use crate::schema::{Document, MANIFEST_KEYS, parse_and_validate};
 use crate::{Digest, Finding, Findings};
 
-/// Longest accepted text. 20,000 accounts, 3.5 times the size designed for, take under 6 MB; the syntax
-/// tree of the worst text, empty lists alone, takes 16 times the text.
+/// Longest accepted text, in bytes. 20,000 accounts take under 6 MB. The syntax tree takes up to 16
+/// times the size of the text, for a text of empty lists.
 const MAX_TEXT_BYTES: usize = 8 << 20;
 
-/// Largest canonical body, in bytes; the replicated log takes no larger one. 20,000 accounts with names
-/// of 13 letters take 3.9 MB.
+/// Largest canonical body, in bytes, that the replicated log accepts. 20,000 accounts with names of
+/// 13 letters take 3.9 MB.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// One configuration of the whole fleet; every value is explained in `docs/SETTINGS.md`.
+/// A configuration of the whole fleet; `docs/SETTINGS.md` describes every value.
 ///
-/// The lists are kept in the order of their names, so that two files which differ only in their order
-/// have the same digest.
+/// The lists are sorted by name, so that files which differ only in the order of elements have the
+/// same digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Number of the manifest; a later one has a higher number.
+    /// Number of the manifest; each applied manifest has a higher number than the one before.
     pub number: u64,
     /// Client accounts.
     pub accounts: Vec<Account>,
@@ -38,34 +38,34 @@
     pub classes: Vec<Class>,
     /// Models served by engines.
     pub models: Vec<Model>,
-    /// What the store of model weights can give.
+    /// Limits of the store of model weights.
     pub weight_store: WeightStore,
     /// Plain services.
     pub services: Vec<Service>,
-    /// Record of calls that may not be repeated.
+    /// Settings of the ledger of calls that may not be repeated.
     pub ledger: Ledger,
 }
 
-/// Why bytes are not the canonical body of a manifest.
+/// An error from decoding a canonical body.
 #[derive(Debug, Display, Error, From)]
 pub enum BodyError {
-    /// The body is larger than the accepted 4 MiB.
-    #[display("a manifest body has {len} bytes, more than {MAX_BODY_BYTES}")]
+    /// The body is larger than [`MAX_BODY_BYTES`].
+    #[display("the manifest body has {len} bytes, more than {MAX_BODY_BYTES}")]
     #[from(skip)]
     TooLarge {
-        /// Length found, in bytes.
+        /// Length of the body, in bytes.
         len: usize,
     },
     /// The body is not a manifest.
-    #[display("a manifest body cannot be read")]
+    #[display("invalid manifest body")]
     Json(serde_json::Error),
 }
 
 impl Manifest {
-    /// Reads the manifest in `text`; `file` names it in findings.
+    /// Parses and checks the manifest in `text`; findings name it as `file`.
     ///
     /// # Errors
-    /// Returns every [`Finding`](crate::Finding) of the text, in the order of their places.
+    /// Returns every [`Finding`](crate::Finding) of the text, ordered by position.
     ///
     /// ```
     /// use coltsfootnotch_manifest::Manifest;
@@ -74,18 +74,18 @@
     /// # Ok::<(), coltsfootnotch_manifest::Findings>(())
     /// ```
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
-        let mut tree = read(file, text, MAX_TEXT_BYTES, MANIFEST_KEYS);
-        check(&mut tree);
-        let mut manifest: Self = tree.finish()?;
+        let mut document = parse_and_validate(file, text, MAX_TEXT_BYTES, MANIFEST_KEYS);
+        check_names(&mut document);
+        let mut manifest: Self = document.finish()?;
         manifest.sort();
         let len = manifest.to_body().len();
         if len > MAX_BODY_BYTES {
-            return Err(too_large(file, len));
+            return Err(too_large_body(file, len));
         }
         Ok(manifest)
     }
 
-    /// The canonical bytes: the same manifest always gives the same bytes.
+    /// Encodes the manifest in its canonical form: equal manifests have equal bytes.
     ///
     /// ```
     /// use coltsfootnotch_manifest::Manifest;
@@ -97,13 +97,13 @@
     pub fn to_body(&self) -> Vec<u8> {
         let mut sorted = self.clone();
         sorted.sort();
-        serde_json::to_vec(&sorted).expect("a manifest has no map with keys other than strings")
+        serde_json::to_vec(&sorted).expect("a manifest has only string keys")
     }
 
-    /// Reads canonical bytes.
+    /// Decodes a manifest from its canonical form.
     ///
     /// # Errors
-    /// Returns a [`BodyError`] when the bytes are too many or not a manifest.
+    /// Returns a [`BodyError`] when the body is too large or not a manifest.
     pub fn from_body(body: &[u8]) -> Result<Self, BodyError> {
         if body.len() > MAX_BODY_BYTES {
             return Err(BodyError::TooLarge { len: body.len() });
@@ -113,7 +113,7 @@
         Ok(manifest)
     }
 
-    /// The digest of the canonical bytes.
+    /// The digest of the canonical form.
     #[must_use]
     pub fn digest(&self) -> Digest {
         Digest::of(&self.to_body())
@@ -127,40 +127,40 @@
     }
 }
 
-fn too_large(file: &str, len: usize) -> Findings {
+fn too_large_body(file: &str, len: usize) -> Findings {
     let mut findings = Findings::new(file);
     findings.add(Finding {
         line: 1,
         column: 1,
-        message: format!("the manifest takes {len} bytes with its defaults written out"),
+        message: format!("the manifest has {len} bytes with its defaults filled in"),
         help: Some(format!("at most {MAX_BODY_BYTES} are accepted")),
     });
     findings
 }
 
-fn check(tree: &mut Tree<'_>) {
-    tree.check_unique("accounts[].name", "account");
-    // Two accounts with one key: a caller would be served and billed as either of them.
-    tree.check_unique("accounts[].key_hashes[]", "key hash");
-    tree.check_unique("classes[].name", "class");
-    tree.check_unique("models[].name", "model");
-    tree.check_unique("services[].name", "service");
-    tree.check_unique("services[].prefix", "prefix");
-    tree.check_references("accounts[].class", "classes[].name", "class");
-    check_pools(tree);
-    model::check_models(tree);
-    service::check_services(tree);
+fn check_names(document: &mut Document<'_>) {
+    document.check_unique("accounts[].name", "account");
+    // A key shared by two accounts does not identify the account to charge.
+    document.check_unique("accounts[].key_hashes[]", "key hash");
+    document.check_unique("classes[].name", "class");
+    document.check_unique("models[].name", "model");
+    document.check_unique("services[].name", "service");
+    document.check_unique("services[].prefix", "prefix");
+    document.check_references("accounts[].class", "classes[].name", "class");
+    check_pools(document);
+    model::check_models(document);
+    service::check_services(document);
 }
 
-/// A model and a service of one name would be one pool with two kinds of upstreams.
-fn check_pools(tree: &mut Tree<'_>) {
-    let models = tree.texts("models[].name");
-    for (path, name) in tree.texts("services[].name") {
+/// Checks that no model and service share a name, since both name a pool.
+fn check_pools(document: &mut Document<'_>) {
+    let models = document.strings_at("models[].name");
+    for (path, name) in document.strings_at("services[].name") {
         if models.iter().any(|(_, model)| *model == name) {
-            let help = "models and services share one space of names; rename one".to_owned();
-            tree.add(
+            let help = "models and services share one namespace; rename one of them".to_owned();
+            document.report(
                 &path,
-                format!("{name:?} is a model and a service"),
+                format!("{name:?} names both a model and a service"),
                 Some(help),
             );
         }
--- a/crates/manifest/src/manifest/model.rs
+++ b/crates/manifest/src/manifest/model.rs
@@ -6,20 +6,20 @@
 use coltsfootnotch_types::{PoolName, ServiceUnits};
 use serde::{Deserialize, Serialize};
 
-use crate::schema::Tree;
+use crate::schema::Document;
 
 /// One model; every engine that serves it belongs to its pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
     /// Name of the model and of its pool.
     pub name: PoolName,
-    /// Time a request has from arrival to its last byte, in milliseconds.
+    /// Longest time from arrival to the last byte of the answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Service units that a token counts.
+    /// Service units per token.
     pub token_weights: TokenWeights,
-    /// Times that 95 in 100 requests should meet.
+    /// Latency targets for the 95th percentile.
     pub targets: Targets,
-    /// Whether its engines refuse an order that carries an old fencing number.
+    /// Whether its engines refuse orders with a stale fencing number.
     pub fenced: bool,
     /// Versions to keep loaded.
     pub versions: Vec<Version>,
@@ -27,59 +27,59 @@
     pub adapters: Vec<Adapter>,
 }
 
-/// Service units that a token counts.
+/// Service units per token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenWeights {
-    /// Units of one token of the prompt.
+    /// Units per prompt token.
     pub input: u32,
-    /// Units of one generated token.
+    /// Units per generated token.
     pub output: u32,
 }
 
-/// Times that 95 in 100 requests should meet.
+/// Latency targets for the 95th percentile.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Targets {
-    /// Arrival to first token, in milliseconds.
+    /// Time from arrival to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// One token to the next, in milliseconds.
+    /// Time between tokens, in milliseconds.
     pub between_tokens_ms: u64,
 }
 
-/// A version of a model that is to be kept loaded.
+/// A version of a model to keep loaded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
     /// Name of the version.
     pub name: String,
-    /// Replicas that shall serve it.
+    /// Desired number of replicas.
     pub replicas: u32,
     /// Size of its weights, in megabytes.
     pub megabytes: u64,
 }
 
-/// An adapter of a version that is to be kept loaded.
+/// An adapter of a version to keep loaded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Adapter {
     /// Name of the adapter.
     pub name: String,
     /// Name of the version it belongs to.
     pub version: String,
-    /// Replicas that shall hold it.
+    /// Desired number of replicas that have it loaded.
     pub replicas: u32,
     /// Size of the adapter, in megabytes.
     pub megabytes: u64,
 }
 
-/// What the store of model weights can give the whole fleet.
+/// Limits of the store of model weights, over the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightStore {
-    /// Rate over all loads together, in megabytes a second.
+    /// Transfer rate of all loads together, in megabytes per second.
     pub megabytes_per_s: u64,
-    /// Loads at once.
+    /// Most concurrent loads.
     pub loads: u32,
 }
 
 impl Model {
-    /// The time a request has from arrival to its last byte.
+    /// Longest time from arrival to the last byte of the answer.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
@@ -87,7 +87,7 @@
 }
 
 impl TokenWeights {
-    /// The service that so many tokens of prompt and answer count.
+    /// Service units of a request with this many prompt and answer tokens.
     ///
     /// ```
     /// use coltsfootnotch_manifest::TokenWeights;
@@ -103,13 +103,13 @@
 }
 
 impl Targets {
-    /// Arrival to first token.
+    /// Time from arrival to the first token.
     #[must_use]
     pub fn first_token(self) -> Duration {
         Duration::from_millis(self.first_token_ms)
     }
 
-    /// One token to the next.
+    /// Time between tokens.
     #[must_use]
     pub fn between_tokens(self) -> Duration {
         Duration::from_millis(self.between_tokens_ms)
@@ -117,29 +117,29 @@
 }
 
 impl WeightStore {
-    /// The time that a load of so many megabytes takes when it has the store to itself.
+    /// Duration of a load of this size when no other load shares the store.
     #[must_use]
     pub fn load_time(self, megabytes: u64) -> Duration {
         Duration::from_millis(megabytes.saturating_mul(1000) / self.megabytes_per_s.max(1))
     }
 }
 
-/// Versions and adapters are named within their model.
-pub(super) fn check_models(tree: &mut Tree<'_>) {
-    let count = tree
+/// Checks versions and adapters, whose names are scoped to their model.
+pub(super) fn check_models(document: &mut Document<'_>) {
+    let count = document
         .value
         .get("models")
         .and_then(|models| models.as_array())
         .map_or(0, Vec::len);
-    for at in 0..count {
-        let model = format!("models[{at}]");
-        unique_within(tree, &model, "models[].versions[].name", "version");
-        unique_within(tree, &model, "models[].adapters[].name", "adapter");
-        let versions = within(tree, &model, "models[].versions[].name");
-        for (path, version) in within(tree, &model, "models[].adapters[].version") {
-            if !versions.iter().any(|(_, known)| *known == version) {
+    for index in 0..count {
+        let model = format!("models[{index}]");
+        check_unique_in_model(document, &model, "models[].versions[].name", "version");
+        check_unique_in_model(document, &model, "models[].adapters[].name", "adapter");
+        let versions = strings_in_model(document, &model, "models[].versions[].name");
+        for (path, version) in strings_in_model(document, &model, "models[].adapters[].version") {
+            if !versions.iter().any(|(_, name)| *name == version) {
                 let help = "list the version under \"versions\" of the same model".to_owned();
-                tree.add(
+                document.report(
                     &path,
                     format!("the model has no version {version:?}"),
                     Some(help),
@@ -149,24 +149,21 @@
     }
 }
 
-fn within(tree: &Tree<'_>, model: &str, pattern: &str) -> Vec<(String, String)> {
-    let start = format!("{model}.");
-    tree.texts(pattern)
+fn strings_in_model(document: &Document<'_>, model: &str, pattern: &str) -> Vec<(String, String)> {
+    let prefix = format!("{model}.");
+    document
+        .strings_at(pattern)
         .into_iter()
-        .filter(|(path, _)| path.starts_with(&start))
+        .filter(|(path, _)| path.starts_with(&prefix))
         .collect()
 }
 
-fn unique_within(tree: &mut Tree<'_>, model: &str, pattern: &str, what: &str) {
+fn check_unique_in_model(document: &mut Document<'_>, model: &str, pattern: &str, what: &str) {
     let mut seen = BTreeMap::new();
-    for (path, name) in within(tree, model, pattern) {
+    for (path, name) in strings_in_model(document, model, pattern) {
         if seen.insert(name.clone(), ()).is_some() {
-            let help = "give each its own name within the model".to_owned();
-            tree.add(
-                &path,
-                format!("the {what} {name:?} is given twice"),
-                Some(help),
-            );
+            let help = "use a name that is unique within the model".to_owned();
+            document.report(&path, format!("duplicate {what} {name:?}"), Some(help));
         }
     }
 }
--- a/crates/manifest/src/manifest/service.rs
+++ b/crates/manifest/src/manifest/service.rs
@@ -1,4 +1,4 @@
-//! Plain services and the ledger of their calls that may not be repeated.
+//! Plain services, their calls, and the ledger of calls that may not be repeated.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::PathPattern;
-use crate::schema::Tree;
+use crate::schema::Document;
 
-/// First segments of paths that entry hosts answer themselves.
+/// First path segments that entry hosts serve themselves.
 const RESERVED_PREFIXES: [&str; 4] = ["v1", "healthz", "readyz", "metrics"];
 
 /// One plain service; every process that serves it belongs to its pool.
@@ -18,87 +18,88 @@
 pub struct Service {
     /// Name of the service and of its pool.
     pub name: PoolName,
-    /// Path under which callers reach it.
+    /// Path under which clients reach the service.
     pub prefix: PathPattern,
-    /// Service units that one call counts.
+    /// Service units per call.
     pub cost: u64,
-    /// Replicas that are expected.
+    /// Expected number of replicas.
     pub replicas: u32,
-    /// Time a call has from arrival to its last byte, in milliseconds.
+    /// Longest time from arrival to the last byte of the answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether its processes refuse a call that carries an old fencing number.
+    /// Whether its processes refuse calls with a stale fencing number.
     pub fenced: bool,
-    /// Calls that callers may make.
+    /// Calls that clients may make.
     pub calls: Vec<Call>,
-    /// Call that tells the outcome of an earlier call by its key.
+    /// Call that looks up the outcome of an earlier call by its idempotency key.
     pub reread: Option<Reread>,
 }
 
 /// One call of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
-    /// Method of the call.
+    /// HTTP method.
     pub method: Method,
-    /// Path after the prefix.
+    /// Path below the prefix.
     pub path: PathPattern,
-    /// Whether it may be sent to a second upstream after a failure.
+    /// Whether the call may be retried on another upstream after a failure.
     pub repeatable: bool,
 }
 
-/// The call that tells the outcome of an earlier call by its key.
+/// The call that looks up the outcome of an earlier call by its idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reread {
-    /// Method of the call.
+    /// HTTP method.
     pub method: Method,
-    /// Path after the prefix, with `{key}` for the idempotency key.
+    /// Path below the prefix, with `{key}` for the idempotency key.
     pub path: PathPattern,
 }
 
-/// Methods of HTTP that a service call may have.
+/// HTTP methods of service calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Method {
-    /// Reads.
+    /// Retrieves a resource.
     #[display("GET")]
     Get,
-    /// Reads the headers alone.
+    /// Retrieves the headers of a resource.
     #[display("HEAD")]
     Head,
-    /// Has an effect of its own each time.
+    /// Submits data; repeating it has a further effect.
     #[display("POST")]
     Post,
-    /// Stores.
+    /// Replaces a resource.
     #[display("PUT")]
     Put,
-    /// Changes a part.
+    /// Modifies a part of a resource.
     #[display("PATCH")]
     Patch,
-    /// Removes.
+    /// Deletes a resource.
     #[display("DELETE")]
     Delete,
 }
 
-/// Record of calls that may not be repeated.
+/// Settings of the ledger of calls that may not be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Time for which the outcome of a call is kept, in hours.
+    /// Time for which outcomes of calls are retained, in hours.
     pub keep_hours: u32,
 }
 
 impl Service {
-    /// The time a call has from arrival to its last byte.
+    /// Longest time from arrival to the last byte of the answer.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// The service that one call counts.
+    /// Service units of one call.
     #[must_use]
     pub fn service(&self) -> ServiceUnits {
         ServiceUnits(self.cost)
     }
 
-    /// What follows the prefix in `path`, `/` when nothing does; `None` outside of the service.
+    /// The part of `path` after the prefix, or `/` if it is empty; `None` if `path` is outside of
+    /// the service.
     #[must_use]
     pub fn path_within<'p>(&self, path: &'p str) -> Option<&'p str> {
         match path.strip_prefix(self.prefix.as_str())? {
@@ -109,7 +110,7 @@
 }
 
 impl Method {
-    /// The method written as `text`, as in a request line.
+    /// Parses the method of a request line.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         match text {
@@ -125,58 +126,62 @@
 }
 
 impl Ledger {
-    /// The time for which the outcome of a call is kept.
+    /// Time for which outcomes of calls are retained.
     #[must_use]
-    pub fn keep(self) -> Duration {
+    pub fn retention(self) -> Duration {
         Duration::from_secs(u64::from(self.keep_hours) * 3600)
     }
 }
 
-pub(super) fn check_services(tree: &mut Tree<'_>) {
-    check_prefixes(tree);
-    check_calls(tree);
-    for (path, pattern) in tree.texts("services[].reread.path") {
+pub(super) fn check_services(document: &mut Document<'_>) {
+    check_prefixes(document);
+    check_calls(document);
+    for (path, pattern) in document.strings_at("services[].reread.path") {
         if !pattern.split('/').any(|segment| segment == "{key}") {
-            let help = "write {key} where the idempotency key belongs".to_owned();
-            tree.add(
+            let help = "add a segment {key} for the idempotency key".to_owned();
+            document.report(
                 &path,
-                "the path of the rereading call names no key".to_owned(),
+                "the path of the reread call has no segment {key}".to_owned(),
                 Some(help),
             );
         }
     }
 }
 
-fn check_prefixes(tree: &mut Tree<'_>) {
-    for (path, prefix) in tree.texts("services[].prefix") {
+fn check_prefixes(document: &mut Document<'_>) {
+    for (path, prefix) in document.strings_at("services[].prefix") {
         let first = prefix
             .trim_start_matches('/')
             .split('/')
             .next()
             .unwrap_or_default();
         if RESERVED_PREFIXES.contains(&first) {
-            let help = format!("entry hosts answer below /{first} themselves");
-            tree.add(
+            let help = format!("entry hosts serve paths below /{first} themselves");
+            document.report(
                 &path,
                 format!("the prefix {prefix:?} is reserved"),
                 Some(help),
             );
         }
         if prefix.contains('{') {
-            let help = "write the prefix in plain text".to_owned();
-            tree.add(&path, "a prefix takes no {name}".to_owned(), Some(help));
+            let help = "use only plain segments".to_owned();
+            document.report(
+                &path,
+                "a prefix cannot have a segment {name}".to_owned(),
+                Some(help),
+            );
         }
     }
 }
 
-/// The same call listed twice could be repeatable once and not repeatable once.
-fn check_calls(tree: &mut Tree<'_>) {
-    let methods = tree.texts("services[].calls[].method");
+/// Rejects calls listed twice, which could disagree on whether they may be repeated.
+fn check_calls(document: &mut Document<'_>) {
+    let methods = document.strings_at("services[].calls[].method");
     let methods: BTreeMap<String, String> = methods.into_iter().collect();
     let mut seen = BTreeMap::new();
-    for (path, pattern) in tree.texts("services[].calls[].path") {
+    for (path, pattern) in document.strings_at("services[].calls[].path") {
         let call = path.trim_end_matches(".path");
-        let service = call.rfind('[').map_or(call, |cut| &call[..cut]).to_owned();
+        let service = call.rfind('[').map_or(call, |end| &call[..end]).to_owned();
         let Some(method) = methods.get(&format!("{call}.method")) else {
             continue;
         };
@@ -185,9 +190,9 @@
             .is_some()
         {
             let help = "keep one of them".to_owned();
-            tree.add(
+            document.report(
                 &path,
-                format!("the call {method} {pattern} is given twice"),
+                format!("duplicate call {method} {pattern}"),
                 Some(help),
             );
         }
--- a/crates/manifest/src/path_pattern.rs
+++ b/crates/manifest/src/path_pattern.rs
@@ -1,4 +1,4 @@
-//! Patterns for the paths of plain service calls.
+//! Path patterns of plain service calls.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -6,34 +6,34 @@
 /// Longest pattern in bytes.
 const MAX_PATTERN_BYTES: usize = 256;
 
-/// Why a text is not a path pattern.
+/// An error from parsing a path pattern.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum PathPatternError {
     /// The pattern does not begin with a slash.
-    #[display("a path does not begin with \"/\"")]
+    #[display("a path must begin with \"/\"")]
     NoSlash,
     /// The pattern is longer than 256 bytes.
-    #[display("a path is longer than {MAX_PATTERN_BYTES} bytes")]
+    #[display("the path is longer than {MAX_PATTERN_BYTES} bytes")]
     TooLong,
-    /// A segment is empty, a dot segment, or holds a brace, a query or a character outside of ASCII.
+    /// A segment is empty, a dot segment, or contains a brace, a query or a non-ASCII character.
     #[display("the path segment {segment:?} is neither plain text nor \"{{name}}\"")]
     BadSegment {
-        /// The segment found.
+        /// The invalid segment.
         segment: String,
     },
 }
 
-/// A path in which a segment written `{name}` stands for any one segment.
+/// A path in which a segment `{name}` matches any one segment.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct PathPattern(String);
 
 impl PathPattern {
-    /// Checks and stores a pattern.
+    /// Parses a pattern.
     ///
     /// # Errors
-    /// Returns a [`PathPatternError`] when the text does not begin with a slash, is too long, or a
-    /// segment is empty or holds other characters than a path may.
+    /// Returns a [`PathPatternError`] if the text does not begin with a slash, is too long, or has
+    /// a segment that is empty or contains a character not allowed in a path.
     ///
     /// ```
     /// use coltsfootnotch_manifest::PathPattern;
@@ -48,7 +48,7 @@
         if text.len() > MAX_PATTERN_BYTES {
             return Err(PathPatternError::TooLong);
         }
-        match rest.split('/').find(|segment| !is_segment(segment)) {
+        match rest.split('/').find(|segment| !is_valid_segment(segment)) {
             Some(segment) => Err(PathPatternError::BadSegment {
                 segment: segment.to_owned(),
             }),
@@ -62,50 +62,51 @@
         &self.0
     }
 
-    /// Whether `path`, without its query, fits the pattern.
+    /// Whether `path`, which has no query, matches the pattern.
     #[must_use]
     pub fn matches(&self, path: &str) -> bool {
-        let mut given = path.split('/');
-        let fits = self.0.split('/').all(|segment| match given.next() {
-            Some(text) if parameter(segment).is_some() => is_one_segment(text),
+        let mut segments = path.split('/');
+        let all_match = self.0.split('/').all(|segment| match segments.next() {
+            Some(text) if parameter_name(segment).is_some() => is_single_segment(text),
             Some(text) => text == segment,
             None => false,
         });
-        fits && given.next().is_none()
+        all_match && segments.next().is_none()
     }
 
-    /// Whether a segment `{name}` is in the pattern.
+    /// Whether the pattern has a segment `{name}`.
     #[must_use]
     pub fn has_parameter(&self, name: &str) -> bool {
         self.0
             .split('/')
-            .any(|segment| parameter(segment) == Some(name))
+            .any(|segment| parameter_name(segment) == Some(name))
     }
 
-    /// The path in which `text` stands for the segment `{name}`.
+    /// The path with the segment `{name}` replaced by `text`.
     #[must_use]
     pub fn fill(&self, name: &str, text: &str) -> String {
         self.0.replace(&format!("{{{name}}}"), text)
     }
 }
 
-/// The name in a segment written `{name}`.
-fn parameter(segment: &str) -> Option<&str> {
+/// The name of a segment `{name}`; `None` for plain text.
+fn parameter_name(segment: &str) -> Option<&str> {
     segment.strip_prefix('{')?.strip_suffix('}')
 }
 
-/// Whether an upstream will take `text` as one segment too. A caller who sends `..` or `%2F` for a
-/// segment would otherwise reach a call of the service that the manifest does not list.
-fn is_one_segment(text: &str) -> bool {
+/// Whether an upstream also treats `text` as one segment. This keeps a client from reaching an
+/// unlisted call of the service by sending `..` or `%2F` as a segment.
+fn is_single_segment(text: &str) -> bool {
     let decoded = text.to_ascii_lowercase().replace("%2e", ".");
-    let splits = decoded.contains("%2f") || decoded.contains("%5c") || decoded.contains('\\');
-    !splits && !matches!(decoded.as_str(), "" | "." | "..")
+    let has_separator =
+        decoded.contains("%2f") || decoded.contains("%5c") || decoded.contains('\\');
+    !has_separator && !matches!(decoded.as_str(), "" | "." | "..")
 }
 
-fn is_segment(segment: &str) -> bool {
-    let inner = parameter(segment).unwrap_or(segment);
-    let accepted = |c: char| c.is_ascii_alphanumeric() || "-._~!$&'()*+,;=:@%".contains(c);
-    !inner.is_empty() && !matches!(inner, "." | "..") && inner.chars().all(accepted)
+fn is_valid_segment(segment: &str) -> bool {
+    let inner = parameter_name(segment).unwrap_or(segment);
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-._~!$&'()*+,;=:@%".contains(c);
+    !inner.is_empty() && !matches!(inner, "." | "..") && inner.chars().all(is_allowed)
 }
 
 impl TryFrom<String> for PathPattern {
--- a/crates/manifest/src/reference.rs
+++ b/crates/manifest/src/reference.rs
@@ -1,10 +1,10 @@
-//! The reference of all keys, as `docs/SETTINGS.md` prints it.
+//! The reference tables of `docs/SETTINGS.md`.
 
 use std::fmt::Write;
 
 use crate::Key;
 
-/// One Markdown table with a row for each key.
+/// Formats a Markdown table with a row for each key.
 ///
 /// ```
 /// use coltsfootnotch_manifest::{SETTINGS_KEYS, reference};
@@ -17,11 +17,11 @@
         let Key {
             path,
             kind,
-            need,
+            presence,
             doc,
         } = key;
         // Writing to a string cannot fail.
-        let _ = writeln!(table, "| `{path}` | {kind} | {need} | {doc} |");
+        let _ = writeln!(table, "| `{path}` | {kind} | {presence} | {doc} |");
     }
     table
 }
--- a/crates/manifest/src/schema/key.rs
+++ b/crates/manifest/src/schema/key.rs
@@ -1,76 +1,76 @@
-//! One key of a settings file or a manifest.
+//! The definition of a key of a settings file or a manifest.
 
 use std::fmt;
 
-/// What a key accepts.
+/// The type of the values that a key accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// An object; its keys have rows of their own.
+    /// An object; its keys have their own rows in the table.
     Object,
-    /// A list of at most `max` elements; the element has a row of its own, its path ends in `[]`.
+    /// A list; its element type has its own row, whose path ends in `[]`.
     List {
-        /// Most elements.
+        /// Largest number of elements.
         max: usize,
     },
     /// A name: 1 to 64 ASCII letters, digits, `.`, `_` and `-`.
     Name,
-    /// A path in the file system; a relative one starts at the folder of the file it stands in.
+    /// A file-system path; a relative one is resolved against the folder of the settings file.
     FilePath,
-    /// The path pattern of a call: segments of plain text or `{name}`.
+    /// A path pattern of a call, whose segments are plain text or `{name}`.
     PathPattern,
     /// An IP address and a port.
     Address,
-    /// An IP address of the loopback network and a port.
+    /// A loopback IP address and a port.
     LoopbackAddress,
     /// `true` or `false`.
-    Flag,
+    Bool,
     /// A whole number.
     Number {
-        /// Smallest accepted.
+        /// Smallest accepted value.
         min: u64,
-        /// Largest accepted.
+        /// Largest accepted value.
         max: u64,
-        /// What is counted.
+        /// Unit of the number.
         unit: &'static str,
     },
-    /// One of a few words.
+    /// One of the listed words.
     Choice(&'static [&'static str]),
-    /// A SHA-256 in 64 hex digits.
+    /// A SHA-256 hash in 64 hex digits.
     Hash,
 }
 
-/// What holds when a key is not given.
+/// Whether a key must be present, and its value if it is absent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
-    /// The key must be given.
+pub enum Presence {
+    /// The key must be present.
     Required,
-    /// Without the key the feature it describes is off.
+    /// If absent, the feature that the key configures is off.
     Optional,
-    /// Without the key this value holds, written as JSON.
+    /// If absent, the key has this value, written as JSON.
     Default(&'static str),
 }
 
-/// One row of the table of keys.
+/// A row of the table of keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Key {
-    /// Where it stands: keys joined by `.`, the element of a list marked by `[]`.
+    /// Path of the key: names joined by `.`, with `[]` for the elements of a list.
     pub path: &'static str,
-    /// What it accepts.
+    /// Type of its value.
     pub kind: Kind,
-    /// What holds without it.
-    pub need: Need,
-    /// What it means.
+    /// Whether it must be present.
+    pub presence: Presence,
+    /// Description for the reference page.
     pub doc: &'static str,
 }
 
 impl Key {
-    /// The path of the object that holds the key; empty for the outermost.
+    /// The path of the object that contains the key; empty for top-level keys.
     #[must_use]
     pub fn parent(&self) -> &'static str {
         self.path.rsplit_once('.').map_or("", |(parent, _)| parent)
     }
 
-    /// The key as it is written in its object.
+    /// The last component of the path.
     #[must_use]
     pub fn name(&self) -> &'static str {
         self.path
@@ -78,11 +78,16 @@
             .map_or(self.path, |(_, name)| name)
     }
 
-    pub(crate) const fn new(path: &'static str, kind: Kind, need: Need, doc: &'static str) -> Self {
+    pub(crate) const fn new(
+        path: &'static str,
+        kind: Kind,
+        presence: Presence,
+        doc: &'static str,
+    ) -> Self {
         Self {
             path,
             kind,
-            need,
+            presence,
             doc,
         }
     }
@@ -100,7 +105,7 @@
             Self::LoopbackAddress => {
                 f.write_str("a loopback address and port like \"127.0.0.1:7002\"")
             }
-            Self::Flag => f.write_str("true or false"),
+            Self::Bool => f.write_str("true or false"),
             Self::Number { min, max, unit } => {
                 write!(f, "a whole number from {min} to {max} ({unit})")
             }
@@ -110,7 +115,7 @@
     }
 }
 
-impl fmt::Display for Need {
+impl fmt::Display for Presence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Required => f.write_str("required"),
@@ -120,7 +125,7 @@
     }
 }
 
-/// A whole number between `min` and `max`.
+/// A whole number from `min` to `max`.
 pub(crate) const fn number(min: u64, max: u64, unit: &'static str) -> Kind {
     Kind::Number { min, max, unit }
 }
--- a/crates/manifest/src/schema/manifest_keys.rs
+++ b/crates/manifest/src/schema/manifest_keys.rs
@@ -8,5 +8,5 @@
 /// Longest deadline: one day, in milliseconds.
 pub(super) const MAX_DEADLINE_MS: u64 = 86_400_000;
 
-/// Every key of a manifest, by subject.
+/// Every key of a manifest, grouped by subject.
 pub const MANIFEST_KEYS: &[&[Key]] = &[ACCOUNT_KEYS, MODEL_KEYS, SERVICE_KEYS];
--- a/crates/manifest/src/schema/mod.rs
+++ b/crates/manifest/src/schema/mod.rs
@@ -1,21 +1,21 @@
-//! The keys of settings and manifests, and the walk that checks a text against them.
+//! The keys of settings and manifests, and the validation of texts against them.
 //!
-//! One table says for each key its type, range, default and meaning. The walk, the defaults that the
-//! daemon runs with and the reference page come from the same rows, so they cannot disagree.
+//! A table defines type, range, default and description of each key. Validation, default values and
+//! the reference page are all derived from it.
 
 mod account_keys;
+mod document;
 mod key;
 mod manifest_keys;
 mod model_keys;
 mod scalar;
 mod service_keys;
 mod settings_keys;
-mod tree;
-mod walk;
+mod validate;
 
-pub use key::{Key, Kind, Need};
+pub use key::{Key, Kind, Presence};
 pub use manifest_keys::MANIFEST_KEYS;
 pub use settings_keys::SETTINGS_KEYS;
 
-pub(crate) use tree::Tree;
-pub(crate) use walk::read;
+pub(crate) use document::Document;
+pub(crate) use validate::parse_and_validate;
--- a/crates/manifest/src/settings.rs
+++ b/crates/manifest/src/settings.rs
@@ -8,15 +8,15 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Findings;
-use crate::schema::{SETTINGS_KEYS, Tree, read};
+use crate::schema::{Document, SETTINGS_KEYS, parse_and_validate};
 
-/// Longest accepted text; settings take a few KB.
+/// Longest accepted text, in bytes; typical settings take a few KB.
 const MAX_TEXT_BYTES: usize = 1 << 20;
 
-/// What one daemon is told when it starts; every value is explained in `docs/SETTINGS.md`.
+/// The settings of one daemon, read when it starts; `docs/SETTINGS.md` describes every value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settings {
-    /// What the daemon does on its host.
+    /// Role of the daemon.
     pub role: Role,
     /// Name of the host.
     pub host: HostName,
@@ -26,19 +26,19 @@
     pub region: RegionName,
     /// Addresses the daemon listens on.
     pub listen: Listen,
-    /// The control group as it is when the fleet is first started.
+    /// The initial members of the control group.
     pub control: Vec<ControlHost>,
     /// Certificate files.
     pub keys: KeyFiles,
-    /// Folder of the replicated log; always given for the role control.
+    /// Folder of the replicated log; always set for the role control.
     pub data: Option<PathBuf>,
-    /// What is logged and where.
+    /// Level and destination of the log.
     pub log: Log,
-    /// Bounds on what the daemon holds.
+    /// Resource limits.
     pub limits: Limits,
-    /// Most by which the clocks of two hosts run apart, in parts per million.
+    /// Largest drift between the clocks of two hosts, in parts per million.
     pub clock_drift_ppm: u32,
-    /// Time that requests in progress have to finish on a graceful shutdown, in milliseconds.
+    /// Time for running requests to finish on a graceful shutdown, in milliseconds.
     pub shutdown_ms: u64,
 }
 
@@ -47,9 +47,9 @@
 pub struct Listen {
     /// UDP address for the other hosts of the fleet.
     pub fleet: SocketAddr,
-    /// TCP address for callers; always given for the role entry.
+    /// TCP address for clients; always set for the role entry.
     pub callers: Option<SocketAddr>,
-    /// Loopback TCP address for announcements; always given for the role sidecar.
+    /// Loopback TCP address for announcements; always set for the role sidecar.
     pub announce: Option<SocketAddr>,
     /// TCP address of health, readiness and metrics.
     pub admin: SocketAddr,
@@ -69,7 +69,7 @@
 /// Certificate files (PEM).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyFiles {
-    /// Certificate of the fleet's authority.
+    /// Certificate of the fleet's certificate authority.
     pub ca: PathBuf,
     /// Certificate of this host.
     pub certificate: PathBuf,
@@ -77,12 +77,12 @@
     pub key: PathBuf,
 }
 
-/// What is logged and where.
+/// Level and destination of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Log {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: LogLevel,
-    /// File to append to; standard error without it.
+    /// File to append to; standard error if `None`.
     pub file: Option<PathBuf>,
 }
 
@@ -90,52 +90,52 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Something failed that an operator must see to.
+    /// A failure that an operator must handle.
     #[display("error")]
     Error,
-    /// Something failed that the fleet gets over by itself.
+    /// A failure from which the fleet recovers by itself.
     #[display("warn")]
     Warn,
-    /// A change of state that operators follow.
+    /// A change of state.
     #[display("info")]
     Info,
-    /// Decisions one by one.
+    /// Individual decisions.
     #[display("debug")]
     Debug,
-    /// Messages one by one.
+    /// Individual messages.
     #[display("trace")]
     Trace,
 }
 
-/// Bounds on what callers and other hosts can make a daemon hold.
+/// Limits on the resources that clients and other hosts can make a daemon use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Callers connected at once.
+    /// Most open client connections.
     pub connections: usize,
-    /// Request line and headers of one request, in bytes.
+    /// Largest request line and headers of one request, in bytes.
     pub header_bytes: usize,
-    /// Body of one request, in bytes.
+    /// Largest body of one request, in bytes.
     pub body_bytes: usize,
-    /// Bodies and answers held at once, in bytes.
+    /// Most memory for bodies and answers, in bytes.
     pub memory_bytes: u64,
-    /// Requests that wait at once, over all accounts.
+    /// Most queued requests over all accounts.
     pub queue_requests: usize,
-    /// Time a caller has to send its whole request, in milliseconds.
+    /// Longest time for a client to send its whole request, in milliseconds.
     pub read_timeout_ms: u64,
-    /// Time in which a caller must take some bytes of its answer, in milliseconds.
+    /// Longest time in which a client accepts no bytes of its answer, in milliseconds.
     pub write_timeout_ms: u64,
-    /// Upstreams that may be announced at once to one sidecar.
+    /// Most upstreams announced to one sidecar.
     pub upstreams: usize,
-    /// Hosts of the fleet that are connected or known at once.
+    /// Most hosts of the fleet that the daemon tracks, connected or not.
     pub hosts: usize,
 }
 
 impl Settings {
-    /// Reads the settings in `text`; `file` names it in findings, and relative paths start at its
-    /// folder.
+    /// Parses and checks the settings in `text`; findings name it as `file`, and relative paths are
+    /// resolved against its folder.
     ///
     /// # Errors
-    /// Returns every [`Finding`](crate::Finding) of the text, in the order of their places.
+    /// Returns every [`Finding`](crate::Finding) of the text, ordered by position.
     ///
     /// ```
     /// use coltsfootnotch_manifest::Settings;
@@ -143,21 +143,21 @@
     /// assert!(findings.to_string().contains("a.jsonc:1:3: unknown key \"rol\""));
     /// ```
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
-        let mut tree = read(file, text, MAX_TEXT_BYTES, SETTINGS_KEYS);
-        check_role(&mut tree);
-        tree.check_unique("control[].host", "control host");
-        tree.check_unique("control[].address", "address");
-        let settings: Self = tree.finish()?;
-        Ok(settings.under(Path::new(file).parent().unwrap_or(Path::new(""))))
+        let mut document = parse_and_validate(file, text, MAX_TEXT_BYTES, SETTINGS_KEYS);
+        check_role_keys(&mut document);
+        document.check_unique("control[].host", "control host");
+        document.check_unique("control[].address", "address");
+        let settings: Self = document.finish()?;
+        Ok(settings.resolve_paths(Path::new(file).parent().unwrap_or(Path::new(""))))
     }
 
-    /// The time that requests in progress have to finish on a graceful shutdown.
+    /// Time for running requests to finish on a graceful shutdown.
     #[must_use]
     pub fn shutdown(&self) -> Duration {
         Duration::from_millis(self.shutdown_ms)
     }
 
-    fn under(mut self, folder: &Path) -> Self {
+    fn resolve_paths(mut self, folder: &Path) -> Self {
         let resolve = |path: &mut PathBuf| *path = folder.join(&*path);
         resolve(&mut self.keys.ca);
         resolve(&mut self.keys.certificate);
@@ -169,29 +169,29 @@
 }
 
 impl Limits {
-    /// The time a caller has to send its whole request.
+    /// Longest time for a client to send its whole request.
     #[must_use]
     pub fn read_timeout(&self) -> Duration {
         Duration::from_millis(self.read_timeout_ms)
     }
 
-    /// The time in which a caller must take some bytes of its answer.
+    /// Longest time in which a client accepts no bytes of its answer.
     #[must_use]
     pub fn write_timeout(&self) -> Duration {
         Duration::from_millis(self.write_timeout_ms)
     }
 }
 
-/// Keys that one role needs and the others do not use.
+/// Keys that one role requires and the others do not use.
 const ROLE_KEYS: [(&str, &str); 3] = [
     ("entry", "listen.callers"),
     ("sidecar", "listen.announce"),
     ("control", "data"),
 ];
 
-/// A key that the role does not use is a finding: the operator expects an effect that never comes.
-fn check_role(tree: &mut Tree<'_>) {
-    let Some(role) = tree
+/// Reports keys that the role requires but lacks, and keys that are set without effect.
+fn check_role_keys(document: &mut Document<'_>) {
+    let Some(role) = document
         .value
         .get("role")
         .and_then(|role| role.as_str())
@@ -199,19 +199,19 @@
     else {
         return;
     };
-    for (user, key) in ROLE_KEYS {
-        if user == role && !tree.is_given(key) {
-            let around = key.rsplit_once('.').map_or("", |(parent, _)| parent);
+    for (key_role, key) in ROLE_KEYS {
+        if key_role == role && !document.is_present(key) {
+            let parent = key.rsplit_once('.').map_or("", |(parent, _)| parent);
             let help = format!("docs/SETTINGS.md describes {key:?}");
-            tree.add(
-                around,
+            document.report(
+                parent,
                 format!("the role {role} needs the key {key:?}"),
                 Some(help),
             );
         }
-        if user != role && tree.is_given(key) {
-            let help = format!("only the role {user} uses it; remove it");
-            tree.add(
+        if key_role != role && document.is_present(key) {
+            let help = format!("only the role {key_role} uses it; remove it");
+            document.report(
                 key,
                 format!("the role {role} does not use the key {key:?}"),
                 Some(help),
@@ -219,14 +219,14 @@
         }
     }
     if role == "control" {
-        check_member(tree);
+        check_control_list(document);
     }
 }
 
-/// A control host that is not in its own list would wait for a leader that never calls it.
-fn check_member(tree: &mut Tree<'_>) {
-    let hosts = tree.texts("control[].host");
-    let Some(host) = tree
+/// Checks that a control host is in its own list, without which it waits forever for a leader.
+fn check_control_list(document: &mut Document<'_>) {
+    let hosts = document.strings_at("control[].host");
+    let Some(host) = document
         .value
         .get("host")
         .and_then(|host| host.as_str())
@@ -236,7 +236,7 @@
     };
     if !hosts.is_empty() && !hosts.iter().any(|(_, listed)| *listed == host) {
         let help = "list every host of the control group, this one included".to_owned();
-        tree.add(
+        document.report(
             "control",
             format!("the control host {host:?} is not in the list"),
             Some(help),
--- a/crates/manifest/src/text_kind.rs
+++ b/crates/manifest/src/text_kind.rs
@@ -1,4 +1,4 @@
-//! Whether a text is settings or a manifest.
+//! Detection of the kind of a text: settings or manifest.
 
 use std::str::FromStr;
 
@@ -6,18 +6,18 @@
 
 use crate::schema::{Key, MANIFEST_KEYS, SETTINGS_KEYS};
 
-/// What a text describes.
+/// The kind of a text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum TextKind {
-    /// One daemon.
+    /// Settings of one daemon.
     #[display("settings")]
     Settings,
-    /// The whole fleet.
+    /// Manifest of the fleet.
     #[display("manifest")]
     Manifest,
 }
 
-/// The text names no kind.
+/// An error from parsing the name of a kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("expected settings or manifest")]
 pub struct TextKindError;
@@ -35,8 +35,8 @@
 }
 
 impl TextKind {
-    /// Recognises a text by the keys it holds, also when it is not valid JSON; none when both kinds
-    /// are as likely.
+    /// Detects the kind of a text by the top-level keys it contains, even if it is not valid JSON;
+    /// `None` if both kinds have equally many.
     ///
     /// ```
     /// use coltsfootnotch_manifest::TextKind;
@@ -46,8 +46,8 @@
     /// ```
     #[must_use]
     pub fn of(text: &str) -> Option<Self> {
-        let settings = held(text, SETTINGS_KEYS);
-        let manifest = held(text, MANIFEST_KEYS);
+        let settings = count_top_level_keys(text, SETTINGS_KEYS);
+        let manifest = count_top_level_keys(text, MANIFEST_KEYS);
         match settings.cmp(&manifest) {
             std::cmp::Ordering::Greater => Some(Self::Settings),
             std::cmp::Ordering::Less => Some(Self::Manifest),
@@ -56,11 +56,11 @@
     }
 }
 
-/// How many of the outermost keys of a table a text holds.
-fn held(text: &str, tables: &[&[Key]]) -> usize {
+/// Number of top-level keys of a table that appear in a text.
+fn count_top_level_keys(text: &str, tables: &[&[Key]]) -> usize {
     let keys = tables.iter().copied().flatten();
-    let outermost = keys.filter(|key| !key.path.contains(['.', '[']));
-    outermost
+    let top_level = keys.filter(|key| !key.path.contains(['.', '[']));
+    top_level
         .filter(|key| text.contains(&format!("\"{}\"", key.path)))
         .count()
 }
--- a/crates/manifest/tests/config_index.rs
+++ b/crates/manifest/tests/config_index.rs
@@ -1,4 +1,4 @@
-//! Look-ups in the configuration in force.
+//! Lookups in a configuration index.
 
 use std::time::Duration;
 
@@ -30,12 +30,12 @@
 
 fn config() -> ConfigIndex {
     let text = TEXT.replace("HASH", &KeyHash::of_key("secret").to_string());
-    let manifest = Manifest::parse("m", &text).unwrap_or_else(|found| panic!("{found}"));
+    let manifest = Manifest::parse("m", &text).unwrap_or_else(|findings| panic!("{findings}"));
     ConfigIndex::new(manifest)
 }
 
-/// What a call means: the service and whether the call may be repeated.
-fn look_up(config: &ConfigIndex, method: &str, path: &str) -> String {
+/// The service and call that a request matches, and whether the call may be repeated.
+fn describe_match(config: &ConfigIndex, method: &str, path: &str) -> String {
     match config.service_call(method, path) {
         CallMatch::NoService => "no service".to_owned(),
         CallMatch::NoCall(service) => format!("{}: no call", service.name),
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn calls_are_found_under_the_longest_prefix() {
+fn calls_match_the_longest_prefix() {
     let calls = [
         "POST /desk/orders",
         "POST /desk/orders?copy=1",
@@ -67,39 +67,38 @@
     let config = config();
     let found = calls.map(|call| {
         let (method, path) = call.split_once(' ').expect("a method and a path");
-        format!("{call} -> {}", look_up(&config, method, path))
+        format!("{call} -> {}", describe_match(&config, method, path))
     });
     insta::assert_snapshot!(found.join("\n"));
 }
 
-// An order is billed twice: a path fits a call that may be repeated and one that may not, and after
-// a failure the fleet sends it again. Of two calls that fit, the one that may not be repeated counts.
+// Guards against billing an order twice: a path matches a call that may be repeated and one that
+// may not, and the request is retried after a failure.
 #[gtest]
-fn of_two_fitting_calls_the_one_not_repeatable_counts() {
-    let found = look_up(&config(), "GET", "/desk/orders/bill");
+fn a_call_that_may_not_be_repeated_takes_precedence() {
+    let found = describe_match(&config(), "GET", "/desk/orders/bill");
     expect_that!(found, eq("desk: /orders/bill repeatable=false"));
 }
 
-// A caller reaches a call that the manifest does not list: it sends `..` or an encoded slash where
-// an identity belongs, the fleet takes it for one segment, and the upstream resolves it to another
-// path. Such a segment fits no pattern, so the call is refused as not found.
+// Guards against reaching an unlisted call: with `..` or an encoded slash as a segment, the
+// upstream resolves the path to another one than the manifest allows.
 #[gtest]
-fn a_segment_that_an_upstream_would_resolve_fits_nothing() {
+fn segments_that_an_upstream_resolves_match_no_call() {
     let config = config();
     for id in [
         "..", ".", "%2e%2E", ".%2e", "1%2f2", "1%2F..", "a%5cb", "a\\b", "",
     ] {
-        let found = look_up(&config, "GET", &format!("/desk/orders/{id}"));
+        let found = describe_match(&config, "GET", &format!("/desk/orders/{id}"));
         expect_that!(found, eq("desk: no call"), "{id}");
     }
     expect_that!(
-        look_up(&config, "GET", "/desk/orders/1.5"),
+        describe_match(&config, "GET", "/desk/orders/1.5"),
         ends_with("repeatable=true")
     );
 }
 
 #[gtest]
-fn the_shorter_deadline_holds() {
+fn the_shorter_deadline_applies() {
     let config = config();
     let deadline = |account, pool| {
         let account = config.account(account).expect("the account");
@@ -110,15 +109,15 @@
     expect_that!(deadline("quick", "spec-llm"), some(eq(5000)));
     expect_that!(deadline("quick", "desk"), some(eq(2000)));
     expect_that!(deadline("plain", "spec-llm"), some(eq(60_000)));
-    expect_that!(deadline("plain", "elsewhere"), none());
+    expect_that!(deadline("plain", "unknown-pool"), none());
     expect_that!(
-        config.manifest().ledger.keep(),
+        config.manifest().ledger.retention(),
         eq(Duration::from_secs(72 * 3600))
     );
 }
 
 #[gtest]
-fn keys_find_their_account_and_nothing_else_does() {
+fn only_listed_keys_have_an_account() {
     let config = config();
     let name = |key: &str| {
         let account = config.account_of_key(&KeyHash::of_key(key).0);
@@ -130,7 +129,7 @@
 }
 
 #[gtest]
-fn any_path_is_looked_up() {
+fn arbitrary_paths_match_only_within_a_service() {
     let config = config();
     let mut runner = TestRunner::new(ProptestConfig {
         cases: 1024,
@@ -142,7 +141,7 @@
         ".{0,40}",
         "(/desk)?(/(orders|archive|[.%2fe5c\\\\]{0,6})){0,4}"
     ];
-    let checked = runner.run(&(".{0,6}|GET|POST", paths), |(method, path)| {
+    let result = runner.run(&(".{0,6}|GET|POST", paths), |(method, path)| {
         if let CallMatch::Call { service, call } = config.service_call(&method, &path) {
             prop_assert!(path.starts_with(service.prefix.as_str()));
             prop_assert_eq!(call.method.to_string(), method);
@@ -151,5 +150,5 @@
         }
         Ok(())
     });
-    expect_that!(checked, ok(anything()));
+    expect_that!(result, ok(anything()));
 }
--- a/crates/manifest/tests/delta.rs
+++ b/crates/manifest/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Canonical bodies, digests and deltas.
+//! Canonical form, digests and deltas of manifests.
 
 use coltsfootnotch_manifest::{DeltaError, KeyHash, Manifest, ManifestDelta};
 use coltsfootnotch_types::{AccountName, Weight};
@@ -10,29 +10,29 @@
 const KAROO: &str = include_str!("../../../examples/karoo/manifest.jsonc");
 
 fn parse(text: &str) -> Manifest {
-    Manifest::parse("m.jsonc", text).unwrap_or_else(|found| panic!("{found}"))
+    Manifest::parse("m.jsonc", text).unwrap_or_else(|findings| panic!("{findings}"))
 }
 
-/// A manifest with some accounts of the example gone, some changed and some new.
+/// The example manifest with some accounts removed, changed and added.
 fn edited(number: u64, edits: &[(u8, u32)]) -> Manifest {
     let mut manifest = Manifest {
         number,
         ..parse(KELANI)
     };
     for (slot, weight) in edits {
-        let at = usize::from(*slot) % manifest.accounts.len().max(1);
+        let index = usize::from(*slot) % manifest.accounts.len().max(1);
         let Ok(weight) = Weight::new(*weight) else {
-            manifest.accounts.truncate(at.max(1));
+            manifest.accounts.truncate(index.max(1));
             continue;
         };
-        let mut account = manifest.accounts[at].clone();
+        let mut account = manifest.accounts[index].clone();
         account.weight = weight;
         if slot % 3 == 0 {
             account.name = AccountName::new(format!("new-{slot}-{weight}")).expect("a name");
             account.key_hashes = vec![KeyHash::of_key(account.name.as_str())];
             manifest.accounts.push(account);
         } else {
-            manifest.accounts[at] = account;
+            manifest.accounts[index] = account;
         }
     }
     manifest.accounts.sort_by(|a, b| a.name.cmp(&b.name));
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn a_delta_gives_the_new_manifest() {
+fn applying_a_delta_gives_the_new_manifest() {
     let mut runner = TestRunner::new(ProptestConfig {
         cases: 128,
         rng_seed: RngSeed::Fixed(20_261_202),
@@ -49,42 +49,41 @@
         ..ProptestConfig::default()
     });
     let edits = || proptest::collection::vec((any::<u8>(), 0..40_u32), 0..8);
-    let checked = runner.run(&(edits(), edits()), |(before, after)| {
+    let result = runner.run(&(edits(), edits()), |(before, after)| {
         let (old, new) = (edited(1, &before), edited(2, &after));
         let delta = ManifestDelta::between(&old, &new);
         let bytes = delta.to_bytes();
-        let sent = ManifestDelta::from_bytes(&bytes).expect("a delta can be read");
-        prop_assert_eq!(sent.apply(&old), Ok(new));
+        let decoded = ManifestDelta::from_bytes(&bytes).expect("an encoded delta can be decoded");
+        prop_assert_eq!(decoded.apply(&old), Ok(new));
         for cut in 0..bytes.len() {
             prop_assert!(ManifestDelta::from_bytes(&bytes[..cut]).is_err());
         }
         Ok(())
     });
-    expect_that!(checked, ok(anything()));
+    expect_that!(result, ok(anything()));
 }
 
-// A host that missed a change would otherwise hold a mixture of two configurations.
-// Change 2 is lost on the way; the delta from 2 to 3 arrives at a host that has 1; it must refuse it
-// and ask for the whole manifest. A delta that was altered on the way must not be taken either.
+// Guards against a mixture of two configurations: a host with manifest 1 that missed manifest 2
+// receives the delta from 2 to 3, or a delta is altered in transit.
 #[gtest]
-fn a_delta_from_another_manifest_is_refused() {
+fn a_delta_of_another_manifest_is_rejected() {
     let (first, second, third) = (edited(1, &[]), edited(2, &[(1, 9)]), edited(3, &[(2, 9)]));
     let delta = ManifestDelta::between(&second, &third);
-    let refused = delta.apply(&first);
-    let expected = DeltaError::OtherBase {
+    let rejected = delta.apply(&first);
+    let expected = DeltaError::BaseMismatch {
         expected: second.digest(),
         found: first.digest(),
     };
-    expect_that!(refused, err(eq(&expected)));
+    expect_that!(rejected, err(eq(&expected)));
     let altered = ManifestDelta { number: 4, ..delta };
     expect_that!(
         altered.apply(&second),
-        err(matches_pattern!(DeltaError::OtherResult { .. }))
+        err(matches_pattern!(DeltaError::ResultMismatch { .. }))
     );
 }
 
 #[gtest]
-fn the_digest_leaves_order_and_comments_out_of_account() {
+fn the_digest_ignores_order_and_comments() {
     let manifest = parse(KAROO);
     let mut shuffled = manifest.clone();
     shuffled.accounts.reverse();
@@ -102,12 +101,12 @@
 }
 
 #[gtest]
-fn manifests_survive_both_codecs() {
+fn manifests_round_trip_through_both_codecs() {
     for manifest in [parse(KELANI), parse(KAROO)] {
-        let bytes = postcard::to_allocvec(&manifest).expect("postcard writes it");
+        let bytes = postcard::to_allocvec(&manifest).expect("a manifest can be encoded");
         expect_that!(postcard::from_bytes::<Manifest>(&bytes), ok(eq(&manifest)));
         expect_that!(
-            Manifest::from_body(&manifest.to_body()).expect("the body"),
+            Manifest::from_body(&manifest.to_body()).expect("a canonical body can be decoded"),
             eq(&manifest)
         );
     }
--- a/crates/manifest/tests/examples.rs
+++ b/crates/manifest/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples of both deployments are without findings and hold the sizes they are to hold.
+//! The settings and manifests of both example deployments are valid and have the expected sizes.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -17,14 +17,15 @@
 fn manifest(fleet: &str) -> Manifest {
     let path = folder(fleet).join("manifest.jsonc");
     let text = fs::read_to_string(&path).expect("the manifest is committed");
-    Manifest::parse(&path.to_string_lossy(), &text).unwrap_or_else(|found| panic!("{found}"))
+    Manifest::parse(&path.to_string_lossy(), &text).unwrap_or_else(|findings| panic!("{findings}"))
 }
 
 fn settings(fleet: &str) -> Vec<Settings> {
     let entries = fs::read_dir(folder(fleet).join("hosts")).expect("the settings are committed");
     let read = |path: PathBuf| {
         let text = fs::read_to_string(&path).expect("a settings file is readable");
-        Settings::parse(&path.to_string_lossy(), &text).unwrap_or_else(|found| panic!("{found}"))
+        Settings::parse(&path.to_string_lossy(), &text)
+            .unwrap_or_else(|findings| panic!("{findings}"))
     };
     entries
         .map(|entry| read(entry.expect("a folder entry").path()))
@@ -36,22 +37,24 @@
 }
 
 #[gtest]
-fn every_host_is_configured_with_addresses_of_its_own() {
+fn every_host_has_its_own_addresses() {
     for (fleet, upstream_hosts) in [("kelani", 13), ("karoo", 23)] {
         let hosts = settings(fleet);
         expect_that!(count(&hosts, Role::Control), eq(3));
         expect_that!(count(&hosts, Role::Entry), eq(3));
         expect_that!(count(&hosts, Role::Sidecar), eq(upstream_hosts));
-        let listens = hosts.iter().map(|host| &host.listen);
-        let addresses: Vec<_> = listens
+        let listen = hosts.iter().map(|host| &host.listen);
+        let addresses: Vec<_> = listen
             .flat_map(|l| [Some(l.fleet), l.callers, l.announce, Some(l.admin)])
             .flatten()
             .collect();
         let distinct: BTreeSet<_> = addresses.iter().collect();
         expect_that!(distinct.len(), eq(addresses.len()));
-        let listed = &hosts[0].control;
+        let control_hosts = &hosts[0].control;
         for host in hosts.iter().filter(|host| host.role == Role::Control) {
-            let entry = listed.iter().find(|control| control.host == host.host);
+            let entry = control_hosts
+                .iter()
+                .find(|control| control.host == host.host);
             expect_that!(
                 entry.map(|control| control.address),
                 some(eq(host.listen.fleet))
@@ -61,14 +64,14 @@
 }
 
 #[gtest]
-fn paths_start_at_the_folder_of_the_file() {
+fn relative_paths_are_resolved_against_the_folder_of_the_file() {
     let hosts = settings("kelani");
     let keys = folder("kelani").join("hosts/../keys/ca.pem");
     expect_that!(hosts.iter().all(|host| host.keys.ca == keys), eq(true));
 }
 
 #[gtest]
-fn the_manifests_hold_accounts_models_and_services() {
+fn the_manifests_have_accounts_models_and_services() {
     let fleets = [
         (
             "kelani",
@@ -99,7 +102,7 @@
         let hash = KeyHash::of_key(&format!("{fleet}-demo-{account}"));
         let owner = config
             .account_of_key(&hash.0)
-            .expect("the demo key is known");
+            .expect("the demo key has an account");
         expect_that!(owner.name.as_str(), eq(account));
         for (method, path, repeatable) in [("POST", "/orders", false), ("GET", "/orders/7", true)] {
             let found = config.service_call(method, &format!("/{service}{path}?a=b"));
--- a/crates/manifest/tests/findings.rs
+++ b/crates/manifest/tests/findings.rs
@@ -1,33 +1,33 @@
-//! What is wrong with a text is found, at its place, all of it at once.
+//! Findings of invalid texts: messages, positions and limits.
 
 use coltsfootnotch_manifest::{KeyHash, Manifest, Settings};
 use googletest::prelude::*;
 
 fn settings(text: &str) -> String {
     Settings::parse("host.jsonc", text)
-        .expect_err("the text is bad")
+        .expect_err("the text is invalid")
         .to_string()
 }
 
 fn manifest(text: &str) -> String {
     Manifest::parse("manifest.jsonc", text)
-        .expect_err("the text is bad")
+        .expect_err("the text is invalid")
         .to_string()
 }
 
 #[gtest]
-fn findings_of_bad_settings() {
+fn findings_of_invalid_settings() {
     insta::assert_snapshot!("settings", settings(include_str!("bad/settings.jsonc")));
     insta::assert_snapshot!("roles", settings(include_str!("bad/roles.jsonc")));
 }
 
 #[gtest]
-fn findings_of_bad_manifests() {
+fn findings_of_invalid_manifests() {
     insta::assert_snapshot!("manifest", manifest(include_str!("bad/manifest.jsonc")));
 }
 
 #[gtest]
-fn findings_of_bad_json() {
+fn findings_of_invalid_json() {
     let texts = [
         "",
         "// nothing",
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn an_oversized_text_is_refused_unread() {
+fn oversized_texts_are_rejected_before_parsing() {
     let settings_text = " ".repeat((1 << 20) + 1);
     expect_that!(
         settings(&settings_text),
@@ -63,10 +63,10 @@
     );
 }
 
-// An operator's `check` would pass a manifest that the replicated log then refuses: its defaults,
-// written out, make it larger than the text.
+// Guards against a manifest that passes `check` and is then refused by the replicated log because
+// its defaults make it too large.
 #[gtest]
-fn a_manifest_too_large_for_the_log_is_found() {
+fn a_manifest_too_large_for_the_log_is_reported() {
     let account = |n: usize| {
         let hash = KeyHash::of_key(&n.to_string());
         format!(
@@ -78,12 +78,12 @@
     let text = format!("{{\"number\":1,\"accounts\":[{}]}}", accounts.join(","));
     expect_that!(
         manifest(&text),
-        contains_substring("bytes with its defaults written out")
+        contains_substring("bytes with its defaults filled in")
     );
 }
 
 #[gtest]
-fn a_report_stays_small() {
+fn reports_are_limited_to_200_findings() {
     let keys: String = (0..30_000).map(|n| format!("\"unknown-{n}\":1,")).collect();
     let report = settings(&format!("{{{keys}}}"));
     expect_that!(report.lines().count(), eq(401));
--- a/crates/manifest/tests/fuzz.rs
+++ b/crates/manifest/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! No text makes a parser panic, and no report outgrows its bound.
+//! Arbitrary texts make no parser panic, and reports stay within their bound.
 
 use coltsfootnotch_manifest::{Findings, Manifest, Settings};
 use googletest::prelude::*;
@@ -19,8 +19,8 @@
     })
 }
 
-/// A result has findings or none; the report of findings is bounded and names the file.
-fn bounded<T>(result: Result<T, Findings>) -> std::result::Result<(), TestCaseError> {
+/// Checks that an error has findings, and that its report is bounded and names the file.
+fn check_report<T>(result: Result<T, Findings>) -> std::result::Result<(), TestCaseError> {
     let Err(findings) = result else { return Ok(()) };
     prop_assert!(!findings.is_empty());
     let report = findings.to_string();
@@ -30,8 +30,8 @@
 }
 
 fn parse_both(text: &str) -> std::result::Result<(), TestCaseError> {
-    bounded(Settings::parse("fuzz", text))?;
-    bounded(Manifest::parse("fuzz", text))
+    check_report(Settings::parse("fuzz", text))?;
+    check_report(Manifest::parse("fuzz", text))
 }
 
 fn any_json() -> impl Strategy<Value = serde_json::Value> {
@@ -51,23 +51,23 @@
     })
 }
 
-/// Every value of `value`, at any depth.
-fn slots(value: &mut serde_json::Value) -> Vec<&mut serde_json::Value> {
+/// Every scalar in `value`, at any depth.
+fn scalars(value: &mut serde_json::Value) -> Vec<&mut serde_json::Value> {
     match value {
-        serde_json::Value::Array(list) => list.iter_mut().flat_map(slots).collect(),
-        serde_json::Value::Object(map) => map.values_mut().flat_map(slots).collect(),
+        serde_json::Value::Array(list) => list.iter_mut().flat_map(scalars).collect(),
+        serde_json::Value::Object(map) => map.values_mut().flat_map(scalars).collect(),
         scalar => vec![scalar],
     }
 }
 
 #[gtest]
-fn garbage() {
+fn random_input_does_not_panic() {
     let bytes = proptest::collection::vec(any::<u8>(), 0..512);
-    let checked = runner(512).run(&bytes, |bytes| {
-        Manifest::from_body(&bytes).expect_err("random bytes are no manifest");
+    let result = runner(512).run(&bytes, |bytes| {
+        Manifest::from_body(&bytes).expect_err("random bytes are not a manifest");
         parse_both(&String::from_utf8_lossy(&bytes))
     });
-    expect_that!(checked, ok(anything()));
+    expect_that!(result, ok(anything()));
     let json_like = r#"[{}\[\]:,"/*\\0-9eE+\-. \ntrufalsn]{0,200}"#;
     expect_that!(
         runner(1024).run(&json_like, |text| parse_both(&text)),
@@ -76,18 +76,18 @@
 }
 
 #[gtest]
-fn truncated() {
+fn truncated_input_is_rejected() {
     for text in [SETTINGS, MANIFEST] {
         let whole = text.trim_end().len();
         for cut in (0..whole).filter(|cut| text.is_char_boundary(*cut)) {
-            let cut_off = &text[..cut];
-            expect_that!(parse_both(cut_off), ok(anything()));
-            expect_that!(Settings::parse("fuzz", cut_off).is_err(), eq(true));
-            expect_that!(Manifest::parse("fuzz", cut_off).is_err(), eq(true));
+            let truncated = &text[..cut];
+            expect_that!(parse_both(truncated), ok(anything()));
+            expect_that!(Settings::parse("fuzz", truncated).is_err(), eq(true));
+            expect_that!(Manifest::parse("fuzz", truncated).is_err(), eq(true));
         }
     }
     let body = Manifest::parse("fuzz", MANIFEST)
-        .expect("it is whole")
+        .expect("the example is valid")
         .to_body();
     for cut in 0..body.len() {
         expect_that!(Manifest::from_body(&body[..cut]).is_err(), eq(true));
@@ -95,9 +95,9 @@
 }
 
 #[gtest]
-fn spliced() {
+fn spliced_input_does_not_panic() {
     let splice = (0..MANIFEST.len(), 0..64_usize, ".{0,32}");
-    let checked = runner(512).run(&splice, |(at, len, with)| {
+    let result = runner(512).run(&splice, |(at, len, with)| {
         for text in [SETTINGS, MANIFEST] {
             let at = text.floor_char_boundary(at % text.len());
             let end = text.ceil_char_boundary((at + len).min(text.len()));
@@ -105,30 +105,30 @@
         }
         Ok(())
     });
-    expect_that!(checked, ok(anything()));
+    expect_that!(result, ok(anything()));
 }
 
 #[gtest]
-fn wrong_values_in_known_places() {
+fn wrong_values_do_not_panic() {
     let body = Manifest::parse("fuzz", MANIFEST)
-        .expect("it is whole")
+        .expect("the example is valid")
         .to_body();
     let whole: serde_json::Value = serde_json::from_slice(&body).expect("the body is JSON");
-    let checked = runner(512).run(
+    let result = runner(512).run(
         &(any::<prop::sample::Index>(), any_json()),
         |(at, wrong)| {
             let mut value = whole.clone();
-            let mut all = slots(&mut value);
-            let slot = at.index(all.len());
-            *all[slot] = wrong;
+            let mut all = scalars(&mut value);
+            let index = at.index(all.len());
+            *all[index] = wrong;
             parse_both(&value.to_string())
         },
     );
-    expect_that!(checked, ok(anything()));
+    expect_that!(result, ok(anything()));
 }
 
 #[gtest]
-fn deep_nesting() {
+fn deep_nesting_does_not_overflow_the_stack() {
     for depth in [100, 511, 512, 513, 100_000] {
         for opening in ["[", "{\"limits\":", "{\"models\":[", "/*", "["] {
             expect_that!(parse_both(&opening.repeat(depth)), ok(anything()));
