--- a/crates/manifest/src/manifest/model.rs
+++ b/crates/manifest/src/manifest/model.rs
@@ -92,10 +92,10 @@
     /// ```
     /// use coltsfootnotch_manifest::TokenWeights;
     /// let weights = TokenWeights { input: 1, output: 4 };
-    /// assert_eq!(weights.service(100, 10).0, 140);
+    /// assert_eq!(weights.service_units(100, 10).0, 140);
     /// ```
     #[must_use]
-    pub fn service(self, input_tokens: u64, output_tokens: u64) -> ServiceUnits {
+    pub fn service_units(self, input_tokens: u64, output_tokens: u64) -> ServiceUnits {
         let input = input_tokens.saturating_mul(u64::from(self.input));
         let output = output_tokens.saturating_mul(u64::from(self.output));
         ServiceUnits(input.saturating_add(output))
--- a/crates/manifest/src/manifest/service.rs
+++ b/crates/manifest/src/manifest/service.rs
@@ -94,7 +94,7 @@
 
     /// Service units of one call.
     #[must_use]
-    pub fn service(&self) -> ServiceUnits {
+    pub fn service_units(&self) -> ServiceUnits {
         ServiceUnits(self.cost)
     }
 
--- a/crates/manifest/src/schema/validate.rs
+++ b/crates/manifest/src/schema/validate.rs
@@ -124,8 +124,7 @@
 
     fn report_unknown_key(&mut self, name: &str, offset: usize, keys: &[&Key]) {
         if self.document.findings.is_full() {
-            // Without the search for the closest key, which takes minutes for a large text of
-            // unknown keys.
+            // Skips the search for the closest key: it takes minutes on a large text of unknown keys.
             self.document.findings.count_omitted();
             return;
         }
--- a/crates/manifest/src/settings.rs
+++ b/crates/manifest/src/settings.rs
@@ -153,7 +153,7 @@
 
     /// Time for running requests to finish on a graceful shutdown.
     #[must_use]
-    pub fn shutdown(&self) -> Duration {
+    pub fn shutdown_timeout(&self) -> Duration {
         Duration::from_millis(self.shutdown_ms)
     }
 
--- a/crates/manifest/src/text_kind.rs
+++ b/crates/manifest/src/text_kind.rs
@@ -40,12 +40,12 @@
     ///
     /// ```
     /// use coltsfootnotch_manifest::TextKind;
-    /// assert_eq!(TextKind::of("{ \"role\": \"entry\""), Some(TextKind::Settings));
-    /// assert_eq!(TextKind::of("{ \"number\": 1, \"accounts\": [] }"), Some(TextKind::Manifest));
-    /// assert_eq!(TextKind::of(""), None);
+    /// assert_eq!(TextKind::detect("{ \"role\": \"entry\""), Some(TextKind::Settings));
+    /// assert_eq!(TextKind::detect("{ \"number\": 1, \"accounts\": [] }"), Some(TextKind::Manifest));
+    /// assert_eq!(TextKind::detect(""), None);
     /// ```
     #[must_use]
-    pub fn of(text: &str) -> Option<Self> {
+    pub fn detect(text: &str) -> Option<Self> {
         let settings = count_top_level_keys(text, SETTINGS_KEYS);
         let manifest = count_top_level_keys(text, MANIFEST_KEYS);
         match settings.cmp(&manifest) {
--- a/src/coltsfootnotch/daemon/entry/callers.rs
+++ b/src/coltsfootnotch/daemon/entry/callers.rs
@@ -269,7 +269,7 @@
                 .map_or(String::new(), |query| format!("?{query}"));
             Ok(Asked {
                 pool: service.name.clone(),
-                estimate: service.service(),
+                estimate: service.service_units(),
                 prefix: 0,
                 repeatable: call.repeatable,
                 path: format!("{rest}{query}"),
@@ -289,7 +289,9 @@
         .ok_or(Refusal::not_run(RefusalKind::NotFound))?;
     Ok(Asked {
         pool: model.name.clone(),
-        estimate: model.token_weights.service(chat.tokens_in, chat.tokens_out),
+        estimate: model
+            .token_weights
+            .service_units(chat.tokens_in, chat.tokens_out),
         prefix: chat.prefix,
         repeatable: true,
         path: CHAT_PATH.to_owned(),
--- a/src/coltsfootnotch/daemon/sidecar/runner.rs
+++ b/src/coltsfootnotch/daemon/sidecar/runner.rs
@@ -184,7 +184,7 @@
     fn service(&self) -> ServiceUnits {
         match self.cost {
             Cost::Tokens(weights) => {
-                weights.service(self.state.usage.tokens_in, self.state.usage.tokens_out)
+                weights.service_units(self.state.usage.tokens_in, self.state.usage.tokens_out)
             }
             Cost::Call(units) => units,
         }
--- a/src/coltsfootnotch/ops/check.rs
+++ b/src/coltsfootnotch/ops/check.rs
@@ -91,7 +91,7 @@
         Ok(text) => text,
         Err(e) => return add(found, file, format!("the file can't be read: {e}"), None),
     };
-    let findings = match kind.or_else(|| TextKind::of(&text)) {
+    let findings = match kind.or_else(|| TextKind::detect(&text)) {
         Some(TextKind::Settings) => Settings::parse(&file, &text).err(),
         Some(TextKind::Manifest) => Manifest::parse(&file, &text).err(),
         None => {
--- a/src/coltsfootnotch/ops/load/recorder.rs
+++ b/src/coltsfootnotch/ops/load/recorder.rs
@@ -246,7 +246,7 @@
     }
 
     fn serve(&self, state: &mut State, account: usize, input: u64, output: u64) {
-        let ServiceUnits(units) = self.weights.service(input, output);
+        let ServiceUnits(units) = self.weights.service_units(input, output);
         state.service[account] += units;
         let LoadAccount { name, weight, .. } = &self.accounts[account];
         state
--- a/src/coltsfootnotch/ops/load/run.rs
+++ b/src/coltsfootnotch/ops/load/run.rs
@@ -171,7 +171,7 @@
     let cost = |plan: &CallerPlan| {
         let prompt = u64::from(*plan.prompt_tokens.end());
         let answer = u64::from(*plan.answer_tokens.end());
-        weights.service(prompt, answer)
+        weights.service_units(prompt, answer)
     };
     let per_token = target.engines.iter().map(|engine| engine.config().token);
     let fastest = per_token.min().unwrap_or(Duration::MAX).as_secs_f64();
--- a/src/coltsfootnotch/ops/serve.rs
+++ b/src/coltsfootnotch/ops/serve.rs
@@ -158,7 +158,7 @@
         control: settings.control.iter().map(ControlAddress::from).collect(),
         credentials: credentials(settings)?,
         limits: settings.limits.clone(),
-        shutdown: settings.shutdown(),
+        shutdown: settings.shutdown_timeout(),
     };
     let handle = entry::start(cx.clone(), cfg)?;
     serve_admin(cx, settings, handle.ready())?;
@@ -175,7 +175,7 @@
         control: settings.control.iter().map(ControlAddress::from).collect(),
         credentials: credentials(settings)?,
         limits: settings.limits.clone(),
-        shutdown: settings.shutdown(),
+        shutdown: settings.shutdown_timeout(),
         policy: ChoicePolicy::Fair,
         drift: DriftBound::new(settings.clock_drift_ppm),
     };
