--- a/src/coltsfootnotch/daemon/admin.rs
+++ b/src/coltsfootnotch/daemon/admin.rs
@@ -12,22 +12,23 @@
 use crate::util::http_server::{self, AnyResponse, ServerLimits, TEXT};
 use crate::util::metrics::Metrics;
 
-/// A balancer and a scraper are the only callers; a few connections each are plenty.
+/// Sized for load balancers and metric scrapers, which need a few connections each.
 const LIMITS: ServerLimits = ServerLimits {
     connections: 64,
     header_bytes: 8 * 1024,
     read_timeout: Duration::from_secs(5),
 };
 
-/// The type that scrapers of the Prometheus text format ask for.
+/// Content type of the Prometheus text exposition format.
 const PROMETHEUS_TEXT: &str = "text/plain; version=0.0.4; charset=utf-8";
 
 /// Serves `/healthz`, `/readyz` and `/metrics` until the task is aborted.
 ///
-/// `ready` says whether the daemon takes work: a balancer sends none while `/readyz` answers 503.
+/// `/readyz` responds with 503 while `ready` returns false, so that load balancers send no
+/// requests.
 ///
 /// # Errors
-/// Returns an error when the listener can't be used.
+/// Returns an error when the listener can't be made non-blocking or registered with the runtime.
 pub fn spawn(
     cx: &HostCx,
     listener: TcpListener,
--- a/src/coltsfootnotch/daemon/control_dials.rs
+++ b/src/coltsfootnotch/daemon/control_dials.rs
@@ -1,4 +1,4 @@
-//! Control hosts that are dialled by address, where nobody says who is there.
+//! Dials control hosts by address, where the host name behind an address is not known.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,15 +6,14 @@
 use coltsfootnotch_fabric::{Dialed, Endpoint, PeerId};
 use coltsfootnotch_types::Role;
 
-/// Addresses that are dialled for as long as they are wanted; a connection is kept with any control
-/// host that answers there.
+/// Keeps a connection to each of a set of addresses, with whichever control host accepts it there.
 #[derive(Debug, Default)]
 pub(super) struct ControlDials {
     dialed: BTreeMap<SocketAddr, Dialed>,
 }
 
 impl ControlDials {
-    /// Dials what is wanted and was not before, and drops what is wanted no more.
+    /// Dials the addresses that are new in `targets` and closes the connections that are not in it.
     pub(super) fn keep(&mut self, endpoint: &Endpoint, wanted: &BTreeSet<SocketAddr>) {
         self.dialed.retain(|address, _| wanted.contains(address));
         for address in wanted {
--- a/src/coltsfootnotch/daemon/lifecycle.rs
+++ b/src/coltsfootnotch/daemon/lifecycle.rs
@@ -1,7 +1,7 @@
-//! A daemon from its start to its end, by the chart `daemon`.
+//! Life cycle of a daemon: drives the state chart `daemon`.
 //!
-//! A daemon takes work once it has a configuration in force. Asked to stop, it takes no more and ends
-//! when nothing is in progress, or when the time for that is over.
+//! A daemon is ready once a configuration is in force. During a graceful shutdown it takes no new
+//! requests, and finishes when none is in progress or the shutdown timeout has passed.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,7 +12,7 @@
 use crate::core::HostCx;
 use crate::util::events;
 
-/// Where a daemon stands in its life; owned by its actor.
+/// State of a daemon's life cycle; owned by its actor.
 #[derive(Debug)]
 pub struct Lifecycle {
     cx: HostCx,
@@ -23,7 +23,8 @@
 }
 
 impl Lifecycle {
-    /// A daemon that starts; `shutdown` is the time for requests in progress at a graceful shutdown.
+    /// Creates the life cycle of a starting daemon; `shutdown` is how long a graceful shutdown
+    /// waits for requests in progress.
     #[must_use]
     pub fn new(cx: HostCx, chart: &Arc<Chart>, shutdown: Duration) -> Self {
         let machine = Machine::new(chart);
@@ -36,18 +37,18 @@
         }
     }
 
-    /// Whether the daemon takes work; shared with the tasks that serve callers and probes.
+    /// The shared flag that is true while the daemon takes requests.
     #[must_use]
     pub fn ready(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.ready)
     }
 
-    /// A configuration is in force.
+    /// Handles a configuration that came into force.
     pub fn config_in_force(&mut self) {
         self.fire(DaemonEvent::ConfigInForce);
     }
 
-    /// Asks for a graceful shutdown; whether it has started with this.
+    /// Starts a graceful shutdown; returns false if one was started before.
     pub fn ask_stop(&mut self, in_progress: usize) -> bool {
         if self.is_stopping() {
             return false;
@@ -65,7 +66,8 @@
         self.stop_at.is_some()
     }
 
-    /// Whether the daemon ends now, with `in_progress` requests unfinished.
+    /// Finishes a graceful shutdown if no request is in progress or its timeout has passed; returns
+    /// whether the daemon has to stop now.
     pub fn ends(&mut self, in_progress: usize) -> bool {
         let Some(stop_at) = self.stop_at else {
             return false;
--- a/src/coltsfootnotch/daemon/mod.rs
+++ b/src/coltsfootnotch/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemons: one actor each, and the tasks that own its sockets.
+//! The daemons: each has one actor that owns its state, and tasks that own its sockets.
 
 pub mod admin;
 pub mod control;
--- a/src/coltsfootnotch/daemon/relay_client.rs
+++ b/src/coltsfootnotch/daemon/relay_client.rs
@@ -1,8 +1,8 @@
-//! A host's connection to the control group, through the control host that is its relay.
+//! A host's connection to the control group, through one control host as its relay.
 //!
-//! One relay at a time, that of the host's own failure domain first: a connection to each control
-//! host would cost a control host the keep-alives of the whole fleet. When the relay does not answer,
-//! the next one is tried; what the host knows stays good meanwhile.
+//! A host connects to one relay at a time, preferably in its own failure domain: connections
+//! to all control hosts make each of them handle the keep-alives of the whole fleet. When the relay
+//! doesn't respond, the next one is tried; directory and configuration stay in use meanwhile.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,38 +19,37 @@
 use crate::core::HostCx;
 use crate::util::events;
 
-/// Time between heartbeats: five may be lost before a host counts as silent after 3 s.
+/// Time between heartbeats: five may be lost before a host is considered silent after 3 s.
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// How long a relay may take to connect before the next one is tried.
-const RELAY_PATIENCE: Duration = Duration::from_millis(1_500);
-/// How long a relay may answer that it has no quorum before the next one is tried: longer than an
-/// election.
-const QUORUM_PATIENCE: Duration = Duration::from_secs(2);
-/// Least time between two changes of relay for that reason: while no control host has a quorum, the
-/// hosts must not wander over all of them.
-const STAY_AT_LEAST: Duration = Duration::from_secs(5);
-/// Time between questions for the confirmed configuration while the group has no quorum.
-const CONFIRM_AGAIN: Duration = Duration::from_millis(500);
+/// Time to connect to a relay, after which the next one is tried.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time that a relay may be without a quorum before the next one is tried; longer than an election.
+const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum time between two such changes of relay. Keeps hosts from cycling through the relays
+/// while no control host has a quorum.
+const MIN_TIME_AT_RELAY: Duration = Duration::from_secs(5);
+/// Time between requests for the confirmed configuration while the group has no quorum.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a daemon learns from its relay.
+/// An event from the relay that the daemon has to handle.
 #[derive(Debug)]
 pub enum RelayNews {
-    /// Hosts have changed: those that are new or changed, and those that are gone.
+    /// The directory of hosts has changed.
     Hosts {
-        /// New or changed.
+        /// Records of new or changed hosts.
         changed: Vec<HostRecord>,
-        /// Gone.
+        /// Hosts that left the directory.
         gone: Vec<HostName>,
     },
-    /// A batch of service was applied.
+    /// The service report with this sequence number was applied.
     ServiceApplied(u64),
-    /// Totals of service elsewhere.
+    /// Service of each account on other hosts.
     Totals(Vec<(AccountName, ServiceUnits)>),
-    /// A proposal was answered.
+    /// The reply to a proposal.
     Proposed {
-        /// Which.
+        /// Number that [`RelayClient::propose`] returned.
         id: u64,
-        /// The reply of the state machine.
+        /// Result of the state machine.
         reply: Result<Vec<u8>, ProposeError>,
     },
     /// A newer configuration is in force.
@@ -62,7 +61,7 @@
 pub struct ConfigUpdate(pub Arc<ConfigIndex>);
 
 #[derive(Debug)]
-struct Current {
+struct Connection {
     link: LinkId,
     tx: LinkTx,
 }
@@ -71,45 +70,46 @@
 pub struct RelayClient {
     cx: HostCx,
     relays: Vec<ControlAddress>,
-    at: usize,
+    /// Index in `relays` of the relay in use.
+    relay_index: usize,
     dialed: Option<Dialed>,
     dialed_since: Duration,
-    current: Option<Current>,
+    connection: Option<Connection>,
     directory: BTreeMap<HostName, HostRecord>,
     directory_version: (Option<Incarnation>, u64),
     config: Option<Arc<ConfigIndex>>,
-    without_quorum: Option<Duration>,
-    changed_at: Duration,
+    no_quorum_since: Option<Duration>,
+    switched_at: Duration,
     next_id: u64,
-    confirm_sent: Option<Duration>,
+    confirm_sent_at: Option<Duration>,
     heartbeat_seq: u64,
-    /// Relays turned to so far.
-    attach: u32,
-    heartbeat_at: Duration,
+    /// Number of connections to relays so far.
+    connection_count: u32,
+    last_heartbeat: Duration,
 }
 
 impl RelayClient {
-    /// A client that tries the relays of its own failure domain first.
+    /// Creates a client that prefers relays of the host's own failure domain.
     #[must_use]
     pub fn new(cx: HostCx, mut relays: Vec<ControlAddress>) -> Self {
         relays.sort_by_key(|relay| relay.domain != cx.identity.domain);
         Self {
             cx,
             relays,
-            at: 0,
+            relay_index: 0,
             dialed: None,
             dialed_since: Duration::ZERO,
-            current: None,
+            connection: None,
             directory: BTreeMap::new(),
             directory_version: (None, 0),
             config: None,
-            without_quorum: None,
-            changed_at: Duration::ZERO,
+            no_quorum_since: None,
+            switched_at: Duration::ZERO,
             next_id: 0,
-            confirm_sent: None,
+            confirm_sent_at: None,
             heartbeat_seq: 0,
-            attach: 0,
-            heartbeat_at: Duration::ZERO,
+            connection_count: 0,
+            last_heartbeat: Duration::ZERO,
         }
     }
 
@@ -119,94 +119,87 @@
         self.config.as_ref()
     }
 
-    /// The number of the configuration in force; zero without one.
+    /// The number of the configuration in force, or zero if there is none.
     #[must_use]
     pub fn config_number(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.number())
     }
 
-    /// The connection to the relay came up.
+    /// Handles a new connection to the relay.
     pub fn up(&mut self, link: LinkId, tx: LinkTx) {
-        self.without_quorum = None;
-        self.attach += 1;
-        self.current = Some(Current { link, tx });
-        self.heartbeat_at = Duration::ZERO;
-        self.confirm_sent = None;
+        self.no_quorum_since = None;
+        self.connection_count += 1;
+        self.connection = Some(Connection { link, tx });
+        self.last_heartbeat = Duration::ZERO;
+        self.confirm_sent_at = None;
         self.directory_version = (None, 0);
     }
 
-    /// A connection is gone.
+    /// Handles the loss of a connection.
     pub fn down(&mut self, link: LinkId, now: Duration) {
-        if self
-            .current
-            .as_ref()
-            .is_some_and(|current| current.link == link)
-        {
-            self.current = None;
+        if self.connection.as_ref().is_some_and(|c| c.link == link) {
+            self.connection = None;
             self.dialed_since = now;
         }
     }
 
-    /// The connection to the relay, if there is one.
+    /// The current connection to the relay.
     #[must_use]
     pub fn link(&self) -> Option<LinkId> {
-        self.current.as_ref().map(|current| current.link)
+        self.connection.as_ref().map(|c| c.link)
     }
 
-    /// Sends a message to the relay; whether there is one.
+    /// Sends a message to the relay; returns false if it can't be sent.
     pub fn send(&self, message: ToRelay) -> bool {
-        let Some(current) = &self.current else {
+        let Some(connection) = &self.connection else {
             return false;
         };
-        current.tx.send(&Message::ToRelay(message)).is_ok()
+        connection.tx.send(&Message::ToRelay(message)).is_ok()
     }
 
-    /// Proposes a command; its number, or none without a relay.
+    /// Proposes a command to the control group. Returns the number that its reply carries, or
+    /// `None` if no relay is connected.
     pub fn propose(&mut self, command: Vec<u8>) -> Option<u64> {
         let id = self.new_id();
         self.send(ToRelay::Propose { id, command }).then_some(id)
     }
 
-    /// Dials, sends heartbeats and asks for the configuration, as each falls due.
+    /// Dials a relay, requests the configuration and sends heartbeats, each when due.
     pub fn tick(&mut self, endpoint: &Endpoint, record: impl FnOnce(u64) -> HostRecord) {
         let now = self.cx.now();
-        if self.current.is_none() {
-            return self.look_for_relay(endpoint, now);
+        if self.connection.is_none() {
+            return self.dial_relay(endpoint, now);
         }
-        if self.is_cut_off(now) {
-            return self.leave_relay(now);
+        if self.has_lost_quorum(now) {
+            return self.switch_relay(now);
         }
-        if self.config.is_none() && self.confirm_is_due(now) {
+        if self.config.is_none() && self.is_confirm_due(now) {
             let id = self.new_id();
             self.send(ToRelay::ConfigConfirmed { id });
-            self.confirm_sent = Some(now);
+            self.confirm_sent_at = Some(now);
         }
-        if self.heartbeat_at == Duration::ZERO || now >= self.heartbeat_at + HEARTBEAT {
+        if self.last_heartbeat == Duration::ZERO || now >= self.last_heartbeat + HEARTBEAT {
             self.heartbeat(now, record);
         }
     }
 
-    /// Sends a heartbeat at once, when something in it has changed.
+    /// Sends a heartbeat immediately.
     pub fn heartbeat(&mut self, now: Duration, record: impl FnOnce(u64) -> HostRecord) {
-        self.heartbeat_at = now;
+        self.last_heartbeat = now;
         self.heartbeat_seq += 1;
         let heartbeat = Heartbeat {
             seq: self.heartbeat_seq,
             started: self.cx.started_at(),
-            attach: self.attach,
+            attach: self.connection_count,
             record: record(self.config_number()),
             directory: self.directory_version.1,
         };
         self.send(ToRelay::Heartbeat(heartbeat));
     }
 
-    /// Takes in a message from the relay.
+    /// Applies a message from the relay; messages on other connections are ignored.
     pub fn on_message(&mut self, link: LinkId, message: FromRelay) -> Option<RelayNews> {
-        if self
-            .current
-            .as_ref()
-            .is_none_or(|current| current.link != link)
-        {
+        if self.connection.as_ref().is_none_or(|c| c.link != link) {
             return None;
         }
         match message {
@@ -220,7 +213,7 @@
             FromRelay::ServiceApplied { seq } => Some(RelayNews::ServiceApplied(seq)),
             FromRelay::Totals { elsewhere } => Some(RelayNews::Totals(elsewhere)),
             FromRelay::Proposed { id, reply } => {
-                self.note_quorum(reply.as_ref().err());
+                self.record_quorum(reply.as_ref().err());
                 Some(RelayNews::Proposed { id, reply })
             }
             FromRelay::Config(body) if self.config.is_some() => self.on_config(&body),
@@ -229,14 +222,14 @@
                 config: Ok(Some(body)),
                 ..
             } => self.on_config(&body),
-            // A push before the first confirmed answer is not taken: the relay may be cut off and
-            // behind what this host had in force before it restarted.
+            // A configuration pushed before the first confirmed response is ignored: a partitioned
+            // relay may have an older one than this host had in force before its restart.
             FromRelay::ConfigConfirmed { config, .. } => {
-                self.note_quorum(config.as_ref().err());
+                self.record_quorum(config.as_ref().err());
                 None
             }
             FromRelay::Config(_) => None,
-            // Answers to operators, and what only forwarding entries are told.
+            // Responses to operators, and messages for forwarding entries.
             FromRelay::Status { .. }
             | FromRelay::Members { .. }
             | FromRelay::Upstreams(_)
@@ -248,43 +241,44 @@
         }
     }
 
-    /// Notes whether the relay's group answers it.
-    fn note_quorum(&mut self, error: Option<&ProposeError>) {
+    /// Records since when the relay has been without a quorum.
+    fn record_quorum(&mut self, error: Option<&ProposeError>) {
         if error == Some(&ProposeError::NoQuorum) {
             let now = self.cx.now();
-            self.without_quorum.get_or_insert(now);
+            self.no_quorum_since.get_or_insert(now);
         } else {
-            self.without_quorum = None;
+            self.no_quorum_since = None;
         }
     }
 
-    /// Whether the relay has been without a quorum for so long that another may have one.
-    fn is_cut_off(&self, now: Duration) -> bool {
-        let since = self.without_quorum.map(|since| now.saturating_sub(since));
-        let may_change = now >= self.changed_at + STAY_AT_LEAST;
-        may_change && since.is_some_and(|since| since >= QUORUM_PATIENCE)
+    /// Whether the relay has been without a quorum for so long that another relay is tried.
+    fn has_lost_quorum(&self, now: Duration) -> bool {
+        let since = self.no_quorum_since.map(|since| now.saturating_sub(since));
+        let may_switch = now >= self.switched_at + MIN_TIME_AT_RELAY;
+        may_switch && since.is_some_and(|since| since >= QUORUM_TIMEOUT)
     }
 
-    /// Turns to the next relay: this one answers, but is cut off from its group or has lost its disk.
-    fn leave_relay(&mut self, now: Duration) {
-        if let Some(current) = self.current.take() {
-            current.tx.close();
+    /// Switches to the next relay: this one is connected, but partitioned from its group or without
+    /// its disk.
+    fn switch_relay(&mut self, now: Duration) {
+        if let Some(connection) = self.connection.take() {
+            connection.tx.close();
         }
         self.dialed = None;
-        self.without_quorum = None;
-        self.changed_at = now;
-        self.at = (self.at + 1) % self.relays.len().max(1);
+        self.no_quorum_since = None;
+        self.switched_at = now;
+        self.relay_index = (self.relay_index + 1) % self.relays.len().max(1);
     }
 
-    fn look_for_relay(&mut self, endpoint: &Endpoint, now: Duration) {
-        let patient = now < self.dialed_since + RELAY_PATIENCE;
-        if self.relays.is_empty() || (self.dialed.is_some() && patient) {
+    fn dial_relay(&mut self, endpoint: &Endpoint, now: Duration) {
+        let is_connecting = now < self.dialed_since + CONNECT_TIMEOUT;
+        if self.relays.is_empty() || (self.dialed.is_some() && is_connecting) {
             return;
         }
         if self.dialed.is_some() {
-            self.at = (self.at + 1) % self.relays.len();
+            self.relay_index = (self.relay_index + 1) % self.relays.len();
         }
-        let relay = &self.relays[self.at];
+        let relay = &self.relays[self.relay_index];
         let peer = PeerId {
             role: Role::Control,
             host: relay.host.clone(),
@@ -293,9 +287,9 @@
         self.dialed_since = now;
     }
 
-    fn confirm_is_due(&self, now: Duration) -> bool {
-        self.confirm_sent
-            .is_none_or(|sent| now >= sent + CONFIRM_AGAIN)
+    fn is_confirm_due(&self, now: Duration) -> bool {
+        self.confirm_sent_at
+            .is_none_or(|sent| now >= sent + CONFIRM_INTERVAL)
     }
 
     fn new_id(&mut self) -> u64 {
@@ -309,20 +303,28 @@
         version: u64,
         full: bool,
         changed: Vec<HostRecord>,
-        mut gone: Vec<HostName>,
+        mut removed: Vec<HostName>,
     ) -> RelayNews {
         if full {
-            let stays = |host: &HostName| changed.iter().any(|record| record.host == *host);
-            gone.extend(self.directory.keys().filter(|host| !stays(host)).cloned());
+            let is_listed = |host: &HostName| changed.iter().any(|record| record.host == *host);
+            removed.extend(
+                self.directory
+                    .keys()
+                    .filter(|host| !is_listed(host))
+                    .cloned(),
+            );
         }
         self.directory_version = (Some(relay), version);
         for record in &changed {
             self.directory.insert(record.host.clone(), record.clone());
         }
-        for host in &gone {
+        for host in &removed {
             self.directory.remove(host);
         }
-        RelayNews::Hosts { changed, gone }
+        RelayNews::Hosts {
+            changed,
+            gone: removed,
+        }
     }
 
     fn on_config(&mut self, body: &ConfigBody) -> Option<RelayNews> {
@@ -339,8 +341,8 @@
         self.put_in_force(manifest)
     }
 
-    /// A delta that does not fit is left: the relay sends the whole when this host does not report
-    /// the new number.
+    /// Applies a delta. One that doesn't apply is ignored: the relay sends the whole configuration
+    /// when this host doesn't report the new number.
     fn on_delta(&mut self, delta: &[u8]) -> Option<RelayNews> {
         let base = self.config.as_ref()?;
         let delta: ManifestDelta = postcard::from_bytes(delta).ok()?;
@@ -355,12 +357,12 @@
         let config = Arc::new(ConfigIndex::new(manifest));
         assert!(
             config.number() > self.config_number(),
-            "a configuration goes back"
+            "the configuration number decreases"
         );
         self.config = Some(Arc::clone(&config));
         self.cx
             .log(&events::CONFIG_IN_FORCE, &[("number", &config.number())]);
-        self.heartbeat_at = Duration::ZERO;
+        self.last_heartbeat = Duration::ZERO;
         Some(RelayNews::Config(ConfigUpdate(config)))
     }
 }
--- a/src/coltsfootnotch/daemon/start.rs
+++ b/src/coltsfootnotch/daemon/start.rs
@@ -1,4 +1,4 @@
-//! What starting any daemon needs and can fail with.
+//! Addresses, errors and the start report that all daemons share.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -9,7 +9,7 @@
 use coltsfootnotch_types::prelude::*;
 use derive_more::{Display, Error, From};
 
-/// Where a control host is.
+/// Name and location of a control host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlAddress {
     /// The host.
@@ -30,7 +30,7 @@
     }
 }
 
-/// Why a daemon can't start.
+/// Error from starting a daemon.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
     /// The fleet endpoint can't be made.
@@ -51,21 +51,21 @@
     Ended,
 }
 
-/// Tells whoever starts a daemon, once, that it runs or why it can't.
+/// Reports once, to the thread that starts a daemon, that it runs or why it can't start.
 #[derive(Debug)]
 pub struct Starter<T>(mpsc::Sender<Result<T, StartError>>);
 
 impl<T> Starter<T> {
-    /// A starter and where its word arrives.
+    /// Creates a reporter and the receiver of its report.
     #[must_use]
     pub fn new() -> (Self, mpsc::Receiver<Result<T, StartError>>) {
         let (tx, rx) = mpsc::channel();
         (Self(tx), rx)
     }
 
-    /// Says how the start went.
+    /// Reports the outcome of the start.
     pub fn tell(self, outcome: Result<T, StartError>) {
-        // Whoever starts a daemon waits for this word; if it has gone, nobody asks.
-        let _waiting = self.0.send(outcome);
+        // A dropped receiver means that the starting thread no longer waits for the outcome.
+        let _result = self.0.send(outcome);
     }
 }
