--- a/src/coltsfootnotch/daemon/control/daemon/mod.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/mod.rs
@@ -31,7 +31,7 @@
 use super::{ControlConfig, ControlError};
 use crate::core::HostCx;
 use crate::daemon::ControlAddress;
-use crate::daemon::control_dials::ControlDials;
+use crate::daemon::control_dialer::ControlDialer;
 use crate::util::events;
 
 /// Longest time that a graceful stop waits for the leadership transfer.
@@ -62,7 +62,7 @@
     /// The listed control hosts are dialled until these are dropped.
     _dialed: Vec<Dialed>,
     /// Addresses dialled by discovery.
-    pub(super) dials: ControlDials,
+    pub(super) dialer: ControlDialer,
     /// Present only if hosts discover each other.
     pub(super) seeded: Option<Seeded>,
     pub(super) bootstrap: Bootstrap,
@@ -115,7 +115,7 @@
             disk,
             links: Links::default(),
             _dialed: dialed,
-            dials: ControlDials::default(),
+            dialer: ControlDialer::default(),
             seeded,
             bootstrap: Bootstrap::new(hello),
             leader: None,
--- a/src/coltsfootnotch/daemon/control/seeded/handlers.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/handlers.rs
@@ -66,7 +66,7 @@
             return;
         };
         let addresses = seeded.discovery.addresses_to_dial(now);
-        self.dials.keep(&self.endpoint, &addresses);
+        self.dialer.set_targets(&self.endpoint, &addresses);
         if let Some(addresses) = seeded.discovery.addresses_to_save(now) {
             self.disk.save_addresses(addresses);
         }
--- a/src/coltsfootnotch/daemon/control_dials.rs
+++ b/src/coltsfootnotch/daemon/control_dialer.rs
@@ -8,15 +8,15 @@
 
 /// Keeps a connection to each of a set of addresses, with whichever control host accepts it there.
 #[derive(Debug, Default)]
-pub(super) struct ControlDials {
+pub(super) struct ControlDialer {
     dialed: BTreeMap<SocketAddr, Dialed>,
 }
 
-impl ControlDials {
+impl ControlDialer {
     /// Dials the addresses that are new in `targets` and closes the connections that are not in it.
-    pub(super) fn keep(&mut self, endpoint: &Endpoint, wanted: &BTreeSet<SocketAddr>) {
-        self.dialed.retain(|address, _| wanted.contains(address));
-        for address in wanted {
+    pub(super) fn set_targets(&mut self, endpoint: &Endpoint, targets: &BTreeSet<SocketAddr>) {
+        self.dialed.retain(|address, _| targets.contains(address));
+        for address in targets {
             let is_control = |peer: &PeerId| peer.role == Role::Control;
             let dial = || endpoint.dial_if(*address, is_control);
             self.dialed.entry(*address).or_insert_with(dial);
--- a/src/coltsfootnotch/daemon/entry/actor.rs
+++ b/src/coltsfootnotch/daemon/entry/actor.rs
@@ -29,7 +29,7 @@
 use super::suspects::Suspects;
 use super::{Arrival, EntryConfig};
 use crate::core::{HostCx, Refusal, RefusalKind};
-use crate::daemon::{Lifecycle, RelayClient, RelayNews, StartError, Starter};
+use crate::daemon::{Lifecycle, RelayClient, RelayEvent, StartError, StartReporter};
 use crate::util::connections::Connections;
 use crate::util::events::{self, Field};
 
@@ -82,18 +82,18 @@
         stakker: CX![],
         cx: HostCx,
         cfg: EntryConfig,
-        starter: Starter<Started>,
+        starter: StartReporter<Started>,
     ) -> Option<Self> {
         let fwd = fwd_to!([stakker], on_msg() as (EntryMsg));
         let (tx, guard) = Channel::new(stakker, fwd);
         match Self::build(cx, cfg, tx, guard) {
             Ok((actor, ready)) => {
                 call!([stakker], tick());
-                starter.tell(Ok(ready));
+                starter.report(Ok(ready));
                 Some(actor)
             }
             Err(e) => {
-                starter.tell(Err(e));
+                starter.report(Err(e));
                 stop!(stakker);
                 None
             }
@@ -120,7 +120,7 @@
         let connections = Arc::<Connections>::default();
         let shared = Shared {
             config: config.subscribe(),
-            ready: life.ready(),
+            ready: life.ready_flag(),
             next_request: Arc::clone(&next_request),
             connections: Arc::clone(&connections),
         };
@@ -129,7 +129,7 @@
             tx: tx.clone(),
             callers,
             fleet,
-            ready: life.ready(),
+            ready: life.ready_flag(),
             traffic: endpoint.traffic(),
         };
         let actor = Self {
@@ -270,7 +270,7 @@
             } if peer.role == Role::Control => {
                 self.cx
                     .log(&events::LINK_UP, &[("peer", &peer), ("run", &incarnation)]);
-                self.relay.up(link, tx);
+                self.relay.on_link_up(link, tx);
             }
             Event::Up {
                 link,
@@ -288,8 +288,8 @@
                 message: Message::FromRelay(message),
                 ..
             } => {
-                if let Some(news) = self.relay.on_message(link, message) {
-                    self.on_relay_news(news);
+                if let Some(event) = self.relay.on_message(link, message) {
+                    self.on_relay_event(event);
                 }
             }
             Event::Message {
@@ -307,7 +307,7 @@
             }
             Event::Down { link, peer } => {
                 self.cx.log(&events::LINK_DOWN, &[("peer", &peer)]);
-                self.relay.down(link, now);
+                self.relay.on_link_down(link, now);
                 if let Some(host) = self.sidecars.down(link) {
                     self.core.on_sidecar_disconnected(&host);
                 }
@@ -315,30 +315,30 @@
         }
     }
 
-    fn on_relay_news(&mut self, news: RelayNews) {
-        match news {
-            RelayNews::Hosts { changed, gone } => {
+    fn on_relay_event(&mut self, event: RelayEvent) {
+        match event {
+            RelayEvent::Hosts { changed, removed } => {
                 for record in &changed {
                     self.sidecars.learn(&self.endpoint, record);
                 }
-                gone.iter().for_each(|host| self.sidecars.forget(host));
+                removed.iter().for_each(|host| self.sidecars.forget(host));
             }
-            RelayNews::Config(update) => {
+            RelayEvent::Config(update) => {
                 self.core.set_running_limits(running_limits(&update.0));
                 self.config.send_replace(Some(update.0));
-                self.life.config_in_force();
+                self.life.on_config_in_force();
             }
-            RelayNews::Proposed { id, reply } => {
+            RelayEvent::Proposed { id, reply } => {
                 if let Some(answered) = self.proposals.answered(self.cx.now(), id, reply) {
                     self.on_ledger(answered);
                 }
             }
-            RelayNews::ServiceApplied(_) | RelayNews::Totals(_) => {}
+            RelayEvent::ServiceApplied(_) | RelayEvent::Totals(_) => {}
         }
     }
 
     fn on_stop(&mut self) {
-        self.life.ask_stop(self.requests.len());
+        self.life.request_shutdown(self.requests.len());
     }
 
     fn end_if_drained(&mut self, stakker: CX![]) {
@@ -347,7 +347,7 @@
         }
         // The last bytes of an answer may still wait for a slow caller to take them.
         let in_progress = self.requests.len().max(self.connections.count());
-        if self.life.ends(in_progress) {
+        if self.life.try_finish(in_progress) {
             self.endpoint.close();
             stop!(stakker);
         }
--- a/src/coltsfootnotch/daemon/entry/handle.rs
+++ b/src/coltsfootnotch/daemon/entry/handle.rs
@@ -16,7 +16,7 @@
 use super::EntryConfig;
 use super::actor::{EntryActor, EntryMsg};
 use crate::core::HostCx;
-use crate::daemon::{StartError, Starter};
+use crate::daemon::{StartError, StartReporter};
 use crate::util::event_loop;
 
 /// Time for the daemon to answer; one that ends meanwhile does not.
@@ -109,7 +109,7 @@
 /// # Errors
 /// Returns a [`StartError`] when an address can't be bound or the credentials can't be used.
 pub fn start(cx: HostCx, cfg: EntryConfig) -> Result<EntryHandle, StartError> {
-    let (starter, outcome) = Starter::new();
+    let (starter, outcome) = StartReporter::new();
     let name = format!("entry-{}", cx.identity.host);
     let thread = event_loop::spawn(&name, move |stakker: &mut Stakker| {
         actor!(
--- a/src/coltsfootnotch/daemon/forward/actor/mod.rs
+++ b/src/coltsfootnotch/daemon/forward/actor/mod.rs
@@ -70,7 +70,7 @@
     draw: fn() -> f64,
     started: impl FnOnce(ForwardHandle),
 ) -> Result<(), ForwardError> {
-    let listener = TcpListener::bind(settings.callers).await?;
+    let listener = TcpListener::bind(settings.http_address).await?;
     let mut outcome = Ok(());
     event_loop::drive(|stakker| {
         let actor = actor_new!(stakker, ForwardActor, ret_nop!());
@@ -146,7 +146,7 @@
         let to_actor = tx.clone();
         let endpoint = Endpoint::bind(
             &cx.runtime,
-            settings.fleet,
+            settings.fleet_address,
             &settings.credentials,
             cx.identity.incarnation,
             move |event| {
@@ -171,11 +171,11 @@
             pause_detector: Arc::clone(&pause_detector),
             overload: Arc::clone(&overload_flags),
             connections: Arc::clone(&connections),
-            close_threshold: settings.connections / 2,
+            close_threshold: settings.max_connections / 2,
             draw,
         });
         let limits = ServerLimits {
-            connections: settings.connections,
+            connections: settings.max_connections,
             header_bytes: HEADER_BYTES,
             read_timeout: READ_TIMEOUT,
         };
--- a/src/coltsfootnotch/daemon/forward/config.rs
+++ b/src/coltsfootnotch/daemon/forward/config.rs
@@ -20,15 +20,15 @@
 /// Settings of a forwarding entry.
 pub struct ForwardSettings {
     /// UDP address that the fleet endpoint binds to.
-    pub fleet: SocketAddr,
+    pub fleet_address: SocketAddr,
     /// Address of the HTTP listener.
-    pub callers: SocketAddr,
+    pub http_address: SocketAddr,
     /// Certificate and key of this host.
     pub credentials: Credentials,
     /// Fleet addresses of some control hosts.
     pub seeds: Vec<SocketAddr>,
     /// Most HTTP connections of clients.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Lease and shutdown times.
     pub times: Times,
     /// The operator's limit on retries.
--- a/src/coltsfootnotch/daemon/forward/control_links.rs
+++ b/src/coltsfootnotch/daemon/forward/control_links.rs
@@ -8,7 +8,7 @@
 use coltsfootnotch_forward::control_host::ControlHostSelector;
 use coltsfootnotch_wire::{Message, ToRelay};
 
-use crate::daemon::control_dials::ControlDials;
+use crate::daemon::control_dialer::ControlDialer;
 
 /// Time between two lease requests. Several fit into a lease, so that it survives a lost response.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
@@ -38,7 +38,7 @@
 /// One of them is selected for lease requests and for the load of the other entries. When it
 /// doesn't respond in time, the next one is selected.
 pub(super) struct ControlLinks {
-    dials: ControlDials,
+    dialer: ControlDialer,
     seeds: BTreeSet<SocketAddr>,
     reported: BTreeSet<SocketAddr>,
     links: BTreeMap<LinkId, Link>,
@@ -51,7 +51,7 @@
 impl ControlLinks {
     pub(super) fn new(seeds: &[SocketAddr]) -> Self {
         Self {
-            dials: ControlDials::default(),
+            dialer: ControlDialer::default(),
             seeds: seeds.iter().copied().collect(),
             reported: BTreeSet::new(),
             links: BTreeMap::new(),
@@ -79,7 +79,7 @@
 
     pub(super) fn dial(&mut self, endpoint: &Endpoint) {
         let targets: BTreeSet<_> = self.seeds.union(&self.reported).copied().collect();
-        self.dials.keep(endpoint, &targets);
+        self.dialer.set_targets(endpoint, &targets);
     }
 
     pub(super) fn on_link_up(&mut self, link: LinkId, peer: PeerId, tx: LinkTx) {
--- a/src/coltsfootnotch/daemon/forward/delivery.rs
+++ b/src/coltsfootnotch/daemon/forward/delivery.rs
@@ -90,11 +90,11 @@
     mut parts: Parts,
     body: Bytes,
 ) -> AnyResponse {
-    (dialect.write_answer)(&mut parts.headers);
+    (dialect.write_response)(&mut parts.headers);
     if implies_not_run(parts.status) && !req.kind().is_idempotent() {
         // The upstream has not stated that the request did not run, which this status implies.
         parts.status = StatusCode::BAD_GATEWAY;
-        (dialect.unmark)(&mut parts.headers);
+        (dialect.remove_upstream_mark)(&mut parts.headers);
     }
     let body = Full::new(body).map_err(|never| match never {});
     Response::from_parts(parts, body.boxed())
--- a/src/coltsfootnotch/daemon/forward/dialect.rs
+++ b/src/coltsfootnotch/daemon/forward/dialect.rs
@@ -28,7 +28,7 @@
     /// Identity of this attempt of the caller.
     pub id: Option<String>,
     /// How long the caller waits, from when the headers were received.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The key of its client account.
     pub key: Option<String>,
     /// Its prompt, for a model engine.
@@ -39,7 +39,7 @@
 
 /// Fields of the headers of a request that is forwarded to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Onward<'a> {
+pub struct UpstreamRequestHead<'a> {
     /// How long the upstream may take from now.
     pub time_left: Duration,
     /// The only upstream that may run the request.
@@ -52,11 +52,11 @@
 
 /// Fields of the headers of an upstream's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Identity of the request that it responds to.
     pub id: Option<String>,
     /// Whether the response has the upstream's mark, which shows that it comes from an upstream.
-    pub marked: bool,
+    pub has_upstream_mark: bool,
     /// Whether the upstream states that it did not run the request.
     pub not_run: bool,
     /// How long the upstream keeps the connection open while idle, if stated.
@@ -72,13 +72,13 @@
     pub read_request: fn(&HeaderMap) -> RequestHead,
     /// Turns a caller's headers into those of the forwarded request: removes headers that must not
     /// be forwarded and sets the fields of the fleet.
-    pub write_onward: fn(&mut HeaderMap, &Onward<'_>),
+    pub write_upstream_request: fn(&mut HeaderMap, &UpstreamRequestHead<'_>),
     /// Reads the headers of an upstream's response.
-    pub read_answer: fn(&HeaderMap) -> AnswerHead,
+    pub read_response: fn(&HeaderMap) -> ResponseHead,
     /// Turns an upstream's response headers into those for the caller.
-    pub write_answer: fn(&mut HeaderMap),
+    pub write_response: fn(&mut HeaderMap),
     /// Removes the upstream's mark from a response that was changed.
-    pub unmark: fn(&mut HeaderMap),
+    pub remove_upstream_mark: fn(&mut HeaderMap),
 }
 
 /// The configuration in force, if any; shared by the tasks of all connections.
--- a/src/coltsfootnotch/daemon/forward/exchange.rs
+++ b/src/coltsfootnotch/daemon/forward/exchange.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use tokio::time::timeout_at;
 
-use super::dialect::AnswerHead;
+use super::dialect::ResponseHead;
 use super::exchange_guard::ExchangeGuard;
 use super::matched_request::MatchedRequest;
 use super::messages::{Outcome, Ticket};
@@ -16,7 +16,7 @@
 /// A response whose headers were received.
 pub(super) struct UpstreamResponse {
     pub(super) response: Response<Incoming>,
-    pub(super) head: AnswerHead,
+    pub(super) head: ResponseHead,
     pub(super) connection: Connection,
     pub(super) guard: ExchangeGuard,
     pub(super) ticket: Ticket,
@@ -93,7 +93,7 @@
     connection: Connection,
     guard: ExchangeGuard,
 ) -> ExchangeResult {
-    let head = (gw.dialect.read_answer)(response.headers());
+    let head = (gw.dialect.read_response)(response.headers());
     if head.not_run || response.status().as_u16() == MISDIRECTED {
         guard.finish(Outcome::NotRun);
         return ExchangeResult::Rejected;
@@ -101,7 +101,7 @@
     // A late or duplicate response to another request, or one that is not from an upstream: this
     // request's response can't be identified on this connection any more.
     let is_mismatched = head.id.is_some() && head.id != req.head.id;
-    let is_unmarked = response.status().is_success() && !head.marked;
+    let is_unmarked = response.status().is_success() && !head.has_upstream_mark;
     if is_mismatched || is_unmarked {
         guard.finish(Outcome::Failed);
         return ExchangeResult::Lost;
--- a/src/coltsfootnotch/daemon/forward/matched_request.rs
+++ b/src/coltsfootnotch/daemon/forward/matched_request.rs
@@ -11,7 +11,7 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Request, Uri};
 
-use super::dialect::{Dialect, Onward, RequestHead};
+use super::dialect::{Dialect, RequestHead, UpstreamRequestHead};
 use super::messages::Ticket;
 
 /// Bytes at each end of a body that its digest covers. The digest is computed for every request,
@@ -61,9 +61,9 @@
     ) -> Request<Full<Bytes>> {
         let time_left = self.deadline.saturating_duration_since(Instant::now());
         let mut headers = self.headers.clone();
-        (dialect.write_onward)(
+        (dialect.write_upstream_request)(
             &mut headers,
-            &Onward {
+            &UpstreamRequestHead {
                 time_left,
                 upstream: &ticket.upstream,
                 account: self.account.as_deref(),
--- a/src/coltsfootnotch/daemon/forward/mod.rs
+++ b/src/coltsfootnotch/daemon/forward/mod.rs
@@ -31,5 +31,5 @@
 
 pub use actor::run;
 pub use config::{ForwardSettings, Times};
-pub use dialect::{AnswerHead, DecodeError, Dialect, Onward, RequestHead};
+pub use dialect::{DecodeError, Dialect, RequestHead, ResponseHead, UpstreamRequestHead};
 pub use handle::ForwardHandle;
--- a/src/coltsfootnotch/daemon/forward/server.rs
+++ b/src/coltsfootnotch/daemon/forward/server.rs
@@ -114,7 +114,7 @@
             None => None,
         };
         let service = route.draw((self.draw)());
-        let timeout = head.patience.unwrap_or(route.timeout).min(route.timeout);
+        let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
         let deadline = received_at + timeout;
         let bounds = config.bounds();
         let body = read_body(body, bounds.body_bytes, timeout)
--- a/src/coltsfootnotch/daemon/forward/stream.rs
+++ b/src/coltsfootnotch/daemon/forward/stream.rs
@@ -120,7 +120,7 @@
     let mut response = Response::new(body.boxed());
     *response.status_mut() = source.received.response.status();
     let mut headers = source.received.response.headers().clone();
-    (gw.dialect.write_answer)(&mut headers);
+    (gw.dialect.write_response)(&mut headers);
     *response.headers_mut() = headers;
     response
 }
--- a/src/coltsfootnotch/daemon/lifecycle.rs
+++ b/src/coltsfootnotch/daemon/lifecycle.rs
@@ -39,17 +39,17 @@
 
     /// The shared flag that is true while the daemon takes requests.
     #[must_use]
-    pub fn ready(&self) -> Arc<AtomicBool> {
+    pub fn ready_flag(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.ready)
     }
 
     /// Handles a configuration that came into force.
-    pub fn config_in_force(&mut self) {
+    pub fn on_config_in_force(&mut self) {
         self.fire(DaemonEvent::ConfigInForce);
     }
 
     /// Starts a graceful shutdown; returns false if one was started before.
-    pub fn ask_stop(&mut self, in_progress: usize) -> bool {
+    pub fn request_shutdown(&mut self, in_progress: usize) -> bool {
         if self.is_stopping() {
             return false;
         }
@@ -68,7 +68,7 @@
 
     /// Finishes a graceful shutdown if no request is in progress or its timeout has passed; returns
     /// whether the daemon has to stop now.
-    pub fn ends(&mut self, in_progress: usize) -> bool {
+    pub fn try_finish(&mut self, in_progress: usize) -> bool {
         let Some(stop_at) = self.stop_at else {
             return false;
         };
--- a/src/coltsfootnotch/daemon/mod.rs
+++ b/src/coltsfootnotch/daemon/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod admin;
 pub mod control;
-mod control_dials;
+mod control_dialer;
 pub mod entry;
 pub mod forward;
 mod lifecycle;
@@ -11,5 +11,5 @@
 mod start;
 
 pub use lifecycle::Lifecycle;
-pub use relay_client::{ConfigUpdate, RelayClient, RelayNews};
-pub use start::{ControlAddress, StartError, Starter};
+pub use relay_client::{ConfigUpdate, RelayClient, RelayEvent};
+pub use start::{ControlAddress, StartError, StartReporter};
--- a/src/coltsfootnotch/daemon/relay_client.rs
+++ b/src/coltsfootnotch/daemon/relay_client.rs
@@ -33,13 +33,13 @@
 
 /// An event from the relay that the daemon has to handle.
 #[derive(Debug)]
-pub enum RelayNews {
+pub enum RelayEvent {
     /// The directory of hosts has changed.
     Hosts {
         /// Records of new or changed hosts.
         changed: Vec<HostRecord>,
         /// Hosts that left the directory.
-        gone: Vec<HostName>,
+        removed: Vec<HostName>,
     },
     /// The service report with this sequence number was applied.
     ServiceApplied(u64),
@@ -126,7 +126,7 @@
     }
 
     /// Handles a new connection to the relay.
-    pub fn up(&mut self, link: LinkId, tx: LinkTx) {
+    pub fn on_link_up(&mut self, link: LinkId, tx: LinkTx) {
         self.no_quorum_since = None;
         self.connection_count += 1;
         self.connection = Some(Connection { link, tx });
@@ -136,7 +136,7 @@
     }
 
     /// Handles the loss of a connection.
-    pub fn down(&mut self, link: LinkId, now: Duration) {
+    pub fn on_link_down(&mut self, link: LinkId, now: Duration) {
         if self.connection.as_ref().is_some_and(|c| c.link == link) {
             self.connection = None;
             self.dialed_since = now;
@@ -179,12 +179,12 @@
             self.confirm_sent_at = Some(now);
         }
         if self.last_heartbeat == Duration::ZERO || now >= self.last_heartbeat + HEARTBEAT {
-            self.heartbeat(now, record);
+            self.send_heartbeat(now, record);
         }
     }
 
     /// Sends a heartbeat immediately.
-    pub fn heartbeat(&mut self, now: Duration, record: impl FnOnce(u64) -> HostRecord) {
+    pub fn send_heartbeat(&mut self, now: Duration, record: impl FnOnce(u64) -> HostRecord) {
         self.last_heartbeat = now;
         self.heartbeat_seq += 1;
         let heartbeat = Heartbeat {
@@ -198,7 +198,7 @@
     }
 
     /// Applies a message from the relay; messages on other connections are ignored.
-    pub fn on_message(&mut self, link: LinkId, message: FromRelay) -> Option<RelayNews> {
+    pub fn on_message(&mut self, link: LinkId, message: FromRelay) -> Option<RelayEvent> {
         if self.connection.as_ref().is_none_or(|c| c.link != link) {
             return None;
         }
@@ -210,11 +210,11 @@
                 changed,
                 gone,
             } => Some(self.on_directory(relay, version, full, changed, gone)),
-            FromRelay::ServiceApplied { seq } => Some(RelayNews::ServiceApplied(seq)),
-            FromRelay::Totals { elsewhere } => Some(RelayNews::Totals(elsewhere)),
+            FromRelay::ServiceApplied { seq } => Some(RelayEvent::ServiceApplied(seq)),
+            FromRelay::Totals { elsewhere } => Some(RelayEvent::Totals(elsewhere)),
             FromRelay::Proposed { id, reply } => {
                 self.record_quorum(reply.as_ref().err());
-                Some(RelayNews::Proposed { id, reply })
+                Some(RelayEvent::Proposed { id, reply })
             }
             FromRelay::Config(body) if self.config.is_some() => self.on_config(&body),
             FromRelay::ConfigDelta { delta, .. } => self.on_delta(&delta),
@@ -304,7 +304,7 @@
         full: bool,
         changed: Vec<HostRecord>,
         mut removed: Vec<HostName>,
-    ) -> RelayNews {
+    ) -> RelayEvent {
         if full {
             let is_listed = |host: &HostName| changed.iter().any(|record| record.host == *host);
             removed.extend(
@@ -321,13 +321,10 @@
         for host in &removed {
             self.directory.remove(host);
         }
-        RelayNews::Hosts {
-            changed,
-            gone: removed,
-        }
+        RelayEvent::Hosts { changed, removed }
     }
 
-    fn on_config(&mut self, body: &ConfigBody) -> Option<RelayNews> {
+    fn on_config(&mut self, body: &ConfigBody) -> Option<RelayEvent> {
         let manifest = match Manifest::from_body(&body.body) {
             Ok(manifest) => manifest,
             Err(e) => {
@@ -343,14 +340,14 @@
 
     /// Applies a delta. One that doesn't apply is ignored: the relay sends the whole configuration
     /// when this host doesn't report the new number.
-    fn on_delta(&mut self, delta: &[u8]) -> Option<RelayNews> {
+    fn on_delta(&mut self, delta: &[u8]) -> Option<RelayEvent> {
         let base = self.config.as_ref()?;
         let delta: ManifestDelta = postcard::from_bytes(delta).ok()?;
         let manifest = delta.apply(base.manifest()).ok()?;
         self.put_in_force(manifest)
     }
 
-    fn put_in_force(&mut self, manifest: Manifest) -> Option<RelayNews> {
+    fn put_in_force(&mut self, manifest: Manifest) -> Option<RelayEvent> {
         if manifest.number <= self.config_number() {
             return None;
         }
@@ -363,6 +360,6 @@
         self.cx
             .log(&events::CONFIG_IN_FORCE, &[("number", &config.number())]);
         self.last_heartbeat = Duration::ZERO;
-        Some(RelayNews::Config(ConfigUpdate(config)))
+        Some(RelayEvent::Config(ConfigUpdate(config)))
     }
 }
--- a/src/coltsfootnotch/daemon/sidecar/actor.rs
+++ b/src/coltsfootnotch/daemon/sidecar/actor.rs
@@ -23,7 +23,7 @@
 use super::upstream_call::Clients;
 use super::upstreams::Upstreams;
 use crate::core::HostCx;
-use crate::daemon::{Lifecycle, RelayClient, RelayNews, StartError, Starter};
+use crate::daemon::{Lifecycle, RelayClient, RelayEvent, StartError, StartReporter};
 use crate::util::events;
 
 /// Time between the actor's own rounds: heartbeats, expiry and news of service fall due on them.
@@ -94,18 +94,18 @@
         stakker: CX![],
         cx: HostCx,
         cfg: SidecarConfig,
-        starter: Starter<Started>,
+        starter: StartReporter<Started>,
     ) -> Option<Self> {
         let fwd = fwd_to!([stakker], on_msg() as (SidecarMsg));
         let (tx, guard) = Channel::new(stakker, fwd);
         match Self::build(cx, cfg, tx, guard) {
             Ok((actor, started)) => {
                 call!([stakker], tick());
-                starter.tell(Ok(started));
+                starter.report(Ok(started));
                 Some(actor)
             }
             Err(e) => {
-                starter.tell(Err(e));
+                starter.report(Err(e));
                 stop!(stakker);
                 None
             }
@@ -129,7 +129,7 @@
             tx: tx.clone(),
             announce,
             fleet,
-            ready: life.ready(),
+            ready: life.ready_flag(),
             traffic: endpoint.traffic(),
         };
         let actor = Self {
@@ -256,7 +256,7 @@
         match event {
             Event::Up { link, peer, tx, .. } if peer.role == Role::Control => {
                 self.reports.relay_changed();
-                self.relay.up(link, tx);
+                self.relay.on_link_up(link, tx);
             }
             Event::Up { link, peer, tx, .. } if peer.role == Role::Entry => {
                 self.entries.insert(peer.host.clone(), (link, tx));
@@ -267,8 +267,8 @@
                 message: Message::FromRelay(message),
                 ..
             } => {
-                if let Some(news) = self.relay.on_message(link, message) {
-                    self.on_relay_news(news);
+                if let Some(event) = self.relay.on_message(link, message) {
+                    self.on_relay_event(event);
                 }
             }
             Event::Message {
@@ -290,7 +290,7 @@
             }
             Event::Down { link, peer } => {
                 self.cx.log(&events::LINK_DOWN, &[("peer", &peer)]);
-                self.relay.down(link, now);
+                self.relay.on_link_down(link, now);
                 if self
                     .entries
                     .get(&peer.host)
@@ -303,28 +303,28 @@
         }
     }
 
-    fn on_relay_news(&mut self, news: RelayNews) {
-        match news {
-            RelayNews::Config(update) => {
-                self.life.config_in_force();
+    fn on_relay_event(&mut self, event: RelayEvent) {
+        match event {
+            RelayEvent::Config(update) => {
+                self.life.on_config_in_force();
                 for account in &update.0.manifest().accounts {
                     self.core
                         .fair_ledger_mut()
                         .set_weight(&account.name, account.weight);
                 }
             }
-            RelayNews::Totals(totals) => {
+            RelayEvent::Totals(totals) => {
                 let totals = totals.iter().map(|(account, total)| (account, *total));
                 self.core.fair_ledger_mut().merge_remote(totals);
             }
-            RelayNews::ServiceApplied(seq) => self.reports.acknowledged(seq),
-            RelayNews::Proposed { id, reply } => self.orders.answered(self.cx.now(), id, &reply),
-            RelayNews::Hosts { .. } => {}
+            RelayEvent::ServiceApplied(seq) => self.reports.acknowledged(seq),
+            RelayEvent::Proposed { id, reply } => self.orders.answered(self.cx.now(), id, &reply),
+            RelayEvent::Hosts { .. } => {}
         }
     }
 
     fn on_stop(&mut self) {
-        if !self.life.ask_stop(self.core.running()) {
+        if !self.life.request_shutdown(self.core.running()) {
             return;
         }
         self.core.start_drain();
@@ -333,7 +333,7 @@
         self.give_orders(now);
         let record = self.record(now);
         self.relay
-            .heartbeat(now, |config| HostRecord { config, ..record });
+            .send_heartbeat(now, |config| HostRecord { config, ..record });
     }
 
     /// Ends when the last attempt has, and its entry has all of its answer.
@@ -341,7 +341,7 @@
         if self.orders.is_releasing(self.cx.now()) {
             return;
         }
-        if self.life.ends(self.attempts.len()) {
+        if self.life.try_finish(self.attempts.len()) {
             self.endpoint.close();
             stop!(stakker);
         }
--- a/src/coltsfootnotch/daemon/sidecar/handle.rs
+++ b/src/coltsfootnotch/daemon/sidecar/handle.rs
@@ -12,7 +12,7 @@
 use super::SidecarConfig;
 use super::actor::{SidecarActor, SidecarMsg};
 use crate::core::HostCx;
-use crate::daemon::{StartError, Starter};
+use crate::daemon::{StartError, StartReporter};
 use crate::util::event_loop;
 
 /// A running sidecar.
@@ -75,7 +75,7 @@
 /// # Errors
 /// Returns a [`StartError`] when an address can't be bound or the credentials can't be used.
 pub fn start(cx: HostCx, cfg: SidecarConfig) -> Result<SidecarHandle, StartError> {
-    let (starter, outcome) = Starter::new();
+    let (starter, outcome) = StartReporter::new();
     let name = format!("sidecar-{}", cx.identity.host);
     let thread = event_loop::spawn(&name, move |stakker: &mut Stakker| {
         actor!(
--- a/src/coltsfootnotch/daemon/start.rs
+++ b/src/coltsfootnotch/daemon/start.rs
@@ -53,9 +53,9 @@
 
 /// Reports once, to the thread that starts a daemon, that it runs or why it can't start.
 #[derive(Debug)]
-pub struct Starter<T>(mpsc::Sender<Result<T, StartError>>);
+pub struct StartReporter<T>(mpsc::Sender<Result<T, StartError>>);
 
-impl<T> Starter<T> {
+impl<T> StartReporter<T> {
     /// Creates a reporter and the receiver of its report.
     #[must_use]
     pub fn new() -> (Self, mpsc::Receiver<Result<T, StartError>>) {
@@ -64,7 +64,7 @@
     }
 
     /// Reports the outcome of the start.
-    pub fn tell(self, outcome: Result<T, StartError>) {
+    pub fn report(self, outcome: Result<T, StartError>) {
         // A dropped receiver means that the starting thread no longer waits for the outcome.
         let _result = self.0.send(outcome);
     }
