--- a/src/coltsfootnotch/daemon/forward/matched_request.rs
+++ b/src/coltsfootnotch/daemon/forward/matched_request.rs
@@ -15,7 +15,8 @@
 use super::messages::Ticket;
 
 /// Bytes at each end of a body that its digest covers. The digest is computed for every request,
-/// also for those refused in a flood, and bodies have tens of kilobytes.
+/// also for those refused in a flood, and bodies have tens of kilobytes. Bodies with the same ends
+/// and length count as the same content.
 const SAMPLE_BYTES: usize = 512;
 
 /// A request that was read and matched to a route.
