--- a/crates/decide/src/admit/admission.rs
+++ b/crates/decide/src/admit/admission.rs
@@ -52,8 +52,9 @@
 
     /// Whether a request is admitted; `deadline` is the latest start that is of use to its caller.
     ///
-    /// # Errors Returns a [`Refusal`] when the account has reached its bound of the queue, or when
-    /// the request is not expected to start by its deadline. Nothing is counted in either case.
+    /// # Errors
+    /// Returns a [`Refusal`] when the account has reached its bound of the queue, or when the request
+    /// is not expected to start by its deadline. Nothing is counted in either case.
     pub fn admit(
         &self,
         pool: &PoolName,
--- a/crates/decide/tests/crash.rs
+++ b/crates/decide/tests/crash.rs
@@ -98,8 +98,7 @@
         let mut now = Duration::from_secs(1);
         for (copy, tracker) in trackers.iter_mut().enumerate().take(copies) {
             let share = others.iter().skip(copy).step_by(copies);
-            let in_flight = share.map(
-|n| key(*n)).chain([bad.clone()]);
+            let in_flight = share.map(|n| key(*n)).chain([bad.clone()]);
             tracker.on_crash(&upstream(lost), in_flight, now);
             lost += 1;
         }
