--- a/src/coltsfootnotch/daemon/entry/actor.rs
+++ b/src/coltsfootnotch/daemon/entry/actor.rs
@@ -1,4 +1,4 @@
-//! The entry's actor: owns the queues, the requests in progress and the connections.
+//! The entry's actor, which owns the queues, the active requests and the connections.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,39 +19,39 @@
 use stakker::{CX, after, call, fwd_to, stop};
 use tokio::sync::watch;
 
-use super::admission::queue_of;
-use super::attempt_end::{AttemptEnd, Collected};
-use super::handle::{Seen, Started};
-use super::listen::{Shared, listen};
+use super::admission::new_admission;
+use super::attempt_result::{AttemptResult, CollectedResponse};
+use super::crash_suspects::CrashSuspects;
+use super::handle::{ConnectionSummary, StartedEntry};
+use super::listen::{ListenerState, listen};
 use super::proposals::Proposals;
-use super::requests::{Chosen, Requests};
-use super::sidecars::Sidecars;
-use super::suspects::Suspects;
-use super::{Arrival, EntryConfig};
+use super::requests::{ChosenSlot, Requests};
+use super::sidecar_links::SidecarLinks;
+use super::{ClientRequest, EntryConfig};
 use crate::core::{HostCx, Refusal, RefusalKind};
 use crate::daemon::{Lifecycle, RelayClient, RelayNews, StartError, Starter};
 use crate::util::connections::Connections;
 use crate::util::events::{self, Field};
 
-/// Time between the actor's own rounds: deadlines, heartbeats and proposals fall due on them.
+/// Interval at which deadlines, heartbeats and pending proposals are checked.
 const TICK: Duration = Duration::from_millis(20);
 
-/// What reaches the actor.
+/// A message to the actor.
 pub(super) enum EntryMsg {
     Fabric(Event),
-    Arrive(Box<Arrival>),
-    Reread {
+    Request(Box<ClientRequest>),
+    RereadFinished {
         request: u64,
-        answer: Option<Collected>,
+        response: Option<CollectedResponse>,
     },
-    CallerGone {
+    CallerDisconnected {
         request: u64,
     },
     AttemptEnded {
         attempt: AttemptId,
-        end: AttemptEnd,
+        result: AttemptResult,
     },
-    Look(mpsc::Sender<Seen>),
+    ConnectionSummary(mpsc::Sender<ConnectionSummary>),
     Stop,
 }
 
@@ -60,19 +60,19 @@
     pub(super) cfg: EntryConfig,
     pub(super) core: EntryCore,
     pub(super) requests: Requests,
-    pub(super) sidecars: Sidecars,
+    pub(super) sidecars: SidecarLinks,
     pub(super) proposals: Proposals,
     pub(super) admission: Admission,
-    pub(super) rates: RateLimits,
-    pub(super) suspects: Suspects,
-    pub(super) retries: RetryBudget,
-    next_request: Arc<AtomicU64>,
+    pub(super) rate_limits: RateLimits,
+    pub(super) suspects: CrashSuspects,
+    pub(super) retry_budget: RetryBudget,
+    next_request_number: Arc<AtomicU64>,
     pub(super) relay: RelayClient,
     pub(super) tx: Channel<EntryMsg>,
     endpoint: Endpoint,
     config: watch::Sender<Option<Arc<ConfigIndex>>>,
     fleet: SocketAddr,
-    connections: Arc<Connections>,
+    client_connections: Arc<Connections>,
     pub(super) life: Lifecycle,
     _guard: ChannelGuard,
 }
@@ -82,7 +82,7 @@
         stakker: CX![],
         cx: HostCx,
         cfg: EntryConfig,
-        starter: Starter<Started>,
+        starter: Starter<StartedEntry>,
     ) -> Option<Self> {
         let fwd = fwd_to!([stakker], on_msg() as (EntryMsg));
         let (tx, guard) = Channel::new(stakker, fwd);
@@ -105,27 +105,33 @@
         cfg: EntryConfig,
         tx: Channel<EntryMsg>,
         guard: ChannelGuard,
-    ) -> Result<(Self, Started), StartError> {
-        let me = cx.identity.incarnation;
+    ) -> Result<(Self, StartedEntry), StartError> {
+        let incarnation = cx.identity.incarnation;
         let events_tx = tx.clone();
         let handler = move |event| {
             events_tx.send(EntryMsg::Fabric(event));
         };
-        let endpoint = Endpoint::bind(&cx.runtime, cfg.fleet, &cfg.credentials, me, handler)?;
+        let endpoint = Endpoint::bind(
+            &cx.runtime,
+            cfg.fleet,
+            &cfg.credentials,
+            incarnation,
+            handler,
+        )?;
         let fleet = endpoint.address()?;
         let config = watch::Sender::new(None);
         let charts = Charts::load()?;
         let life = Lifecycle::new(cx.clone(), &charts.daemon, cfg.shutdown);
-        let next_request = Arc::new(AtomicU64::new(0));
-        let connections = Arc::<Connections>::default();
-        let shared = Shared {
+        let next_request_number = Arc::new(AtomicU64::new(0));
+        let client_connections = Arc::<Connections>::default();
+        let state = ListenerState {
             config: config.subscribe(),
             ready: life.ready(),
-            next_request: Arc::clone(&next_request),
-            connections: Arc::clone(&connections),
+            next_request_number: Arc::clone(&next_request_number),
+            connections: Arc::clone(&client_connections),
         };
-        let callers = listen(&cx, &cfg, &tx, shared)?;
-        let ready = Started {
+        let callers = listen(&cx, &cfg, &tx, state)?;
+        let ready = StartedEntry {
             tx: tx.clone(),
             callers,
             fleet,
@@ -133,15 +139,15 @@
             traffic: endpoint.traffic(),
         };
         let actor = Self {
-            core: EntryCore::new(me, cx.identity.domain.clone()),
+            core: EntryCore::new(incarnation, cx.identity.domain.clone()),
             requests: Requests::new(charts.request),
-            sidecars: Sidecars::default(),
+            sidecars: SidecarLinks::default(),
             proposals: Proposals::default(),
-            admission: queue_of(cfg.limits.queue_requests),
-            rates: RateLimits::new(),
-            suspects: Suspects::new(&cx.identity.host, me),
-            retries: RetryBudget::new(),
-            next_request,
+            admission: new_admission(cfg.limits.queue_requests),
+            rate_limits: RateLimits::new(),
+            suspects: CrashSuspects::new(&cx.identity.host, incarnation),
+            retry_budget: RetryBudget::new(),
+            next_request_number,
             relay: RelayClient::new(cx.clone(), cfg.control.clone()),
             cx,
             cfg,
@@ -149,7 +155,7 @@
             endpoint,
             config,
             fleet,
-            connections,
+            client_connections,
             life,
             _guard: guard,
         };
@@ -162,20 +168,22 @@
 
     fn on_msg(&mut self, stakker: CX![], msg: EntryMsg) {
         match msg {
-            EntryMsg::Fabric(event) => self.on_fabric(event),
-            EntryMsg::Arrive(arrival) => self.on_arrive(*arrival),
-            EntryMsg::CallerGone { request } => self.on_caller_gone(request),
-            EntryMsg::AttemptEnded { attempt, end } => self.on_attempt_end(attempt, end),
-            EntryMsg::Reread { request, answer } => self.on_reread(request, answer),
-            EntryMsg::Look(answer) => {
+            EntryMsg::Fabric(event) => self.on_fabric_event(event),
+            EntryMsg::Request(req) => self.on_request(*req),
+            EntryMsg::CallerDisconnected { request } => self.on_caller_disconnected(request),
+            EntryMsg::AttemptEnded { attempt, result } => self.on_attempt_ended(attempt, result),
+            EntryMsg::RereadFinished { request, response } => {
+                self.on_reread_finished(request, response);
+            }
+            EntryMsg::ConnectionSummary(reply) => {
                 let (sidecars, pools) = self.core.connection_summary();
-                // Whoever asked may have given up.
-                let _asker = answer.send(Seen { sidecars, pools });
+                // The requester may have timed out.
+                let _result = reply.send(ConnectionSummary { sidecars, pools });
             }
             EntryMsg::Stop => self.on_stop(),
         }
         self.run_actions();
-        self.end_if_drained(stakker);
+        self.stop_if_drained(stakker);
     }
 
     fn tick(&mut self, stakker: CX![]) {
@@ -194,16 +202,16 @@
         self.relay
             .tick(&self.endpoint, |config| HostRecord { config, ..record });
         self.suspects.tick(now);
-        self.tick_doubts(now);
-        for answered in self.proposals.tick(&mut self.relay, now) {
-            self.on_ledger(answered);
+        self.expire_unresolved(now);
+        for result in self.proposals.tick(&mut self.relay, now) {
+            self.on_ledger_reply(result);
         }
         self.run_actions();
-        self.end_if_drained(stakker);
+        self.stop_if_drained(stakker);
         after!(TICK, [stakker], tick());
     }
 
-    /// Carries out what the core has decided.
+    /// Executes the actions of the core.
     pub(super) fn run_actions(&mut self) {
         let now = self.cx.now();
         for action in self.core.take_actions(now) {
@@ -218,12 +226,12 @@
                 } => {
                     self.admission
                         .on_started(&waiting.pool, &waiting.account, now);
-                    self.on_chosen(Chosen {
+                    self.on_slot_chosen(ChosenSlot {
                         attempt,
                         host: to,
                         sidecar,
                         cause,
-                        waiting,
+                        queued: waiting,
                     });
                 }
                 EntryAction::Expired { waiting } => self.on_expired(&waiting),
@@ -231,27 +239,27 @@
         }
     }
 
-    fn on_expired(&mut self, waiting: &QueuedRequest) {
-        self.admission.on_removed(&waiting.pool, &waiting.account);
-        let Some(in_progress) = self.requests.get(waiting.request) else {
+    fn on_expired(&mut self, queued: &QueuedRequest) {
+        self.admission.on_removed(&queued.pool, &queued.account);
+        let Some(active) = self.requests.get(queued.request) else {
             return;
         };
-        // An attempt that failed before may have run.
+        // An earlier attempt may have run.
         let refusal = Refusal {
-            run: in_progress.run(),
+            run: active.run_status(),
             ..Refusal::unknown(RefusalKind::Deadline)
         };
-        let after = self.come_back_after(&waiting.pool, &waiting.account);
-        self.finish_failed(waiting.request, refusal.retry_after(after));
+        let after = self.retry_after(&queued.pool, &queued.account);
+        self.finish_failed(queued.request, refusal.retry_after(after));
     }
 
     fn on_sidecar_message(&mut self, now: Duration, host: &HostName, message: FromSidecar) {
         match message {
-            FromSidecar::Crashed(news) => {
-                let count = news.suspects.len();
-                let fields: [Field<'_>; 2] = [("upstream", &news.upstream), ("suspects", &count)];
+            FromSidecar::Crashed(crash) => {
+                let count = crash.suspects.len();
+                let fields: [Field<'_>; 2] = [("upstream", &crash.upstream), ("suspects", &count)];
                 self.cx.log(&events::REQUEST_SUSPECTED, &fields);
-                self.suspects.on_crash(now, news);
+                self.suspects.on_crash(now, crash);
             }
             FromSidecar::Cleared { key, crashes } => self.suspects.on_cleared(now, &key, &crashes),
             FromSidecar::Disowned { attempt, never } => self.on_disowned(host, attempt, never),
@@ -259,7 +267,7 @@
         }
     }
 
-    fn on_fabric(&mut self, event: Event) {
+    fn on_fabric_event(&mut self, event: Event) {
         let now = self.cx.now();
         match event {
             Event::Up {
@@ -278,7 +286,7 @@
                 incarnation,
                 tx,
             } => {
-                if let Some(domain) = self.sidecars.up(link, &peer.host, incarnation, tx) {
+                if let Some(domain) = self.sidecars.on_link_up(link, &peer.host, incarnation, tx) {
                     self.core
                         .on_sidecar_connected(peer.host, incarnation, domain);
                 }
@@ -308,7 +316,7 @@
             Event::Down { link, peer } => {
                 self.cx.log(&events::LINK_DOWN, &[("peer", &peer)]);
                 self.relay.down(link, now);
-                if let Some(host) = self.sidecars.down(link) {
+                if let Some(host) = self.sidecars.on_link_down(link) {
                     self.core.on_sidecar_disconnected(&host);
                 }
             }
@@ -319,9 +327,9 @@
         match news {
             RelayNews::Hosts { changed, gone } => {
                 for record in &changed {
-                    self.sidecars.learn(&self.endpoint, record);
+                    self.sidecars.apply_record(&self.endpoint, record);
                 }
-                gone.iter().for_each(|host| self.sidecars.forget(host));
+                gone.iter().for_each(|host| self.sidecars.remove(host));
             }
             RelayNews::Config(update) => {
                 self.core.set_running_limits(running_limits(&update.0));
@@ -329,8 +337,8 @@
                 self.life.config_in_force();
             }
             RelayNews::Proposed { id, reply } => {
-                if let Some(answered) = self.proposals.answered(self.cx.now(), id, reply) {
-                    self.on_ledger(answered);
+                if let Some(result) = self.proposals.on_reply(self.cx.now(), id, reply) {
+                    self.on_ledger_reply(result);
                 }
             }
             RelayNews::ServiceApplied(_) | RelayNews::Totals(_) => {}
@@ -341,30 +349,30 @@
         self.life.ask_stop(self.requests.len());
     }
 
-    fn end_if_drained(&mut self, stakker: CX![]) {
+    fn stop_if_drained(&mut self, stakker: CX![]) {
         if self.life.is_stopping() && self.requests.len() == 0 {
-            self.connections.close();
+            self.client_connections.close();
         }
-        // The last bytes of an answer may still wait for a slow caller to take them.
-        let in_progress = self.requests.len().max(self.connections.count());
+        // A connection counts until its caller has received the whole response.
+        let in_progress = self.requests.len().max(self.client_connections.count());
         if self.life.ends(in_progress) {
             self.endpoint.close();
             stop!(stakker);
         }
     }
 
-    /// A number for a request that the entry makes itself.
-    pub(super) fn next_request(&self) -> u64 {
-        self.next_request.fetch_add(1, Ordering::Relaxed)
+    /// Allocates the number of a request that the entry makes itself.
+    pub(super) fn next_request_number(&self) -> u64 {
+        self.next_request_number.fetch_add(1, Ordering::Relaxed)
     }
 }
 
-/// Requests that may run at once, for the accounts that the manifest limits.
+/// Maximum number of concurrent requests of each account that the manifest limits.
 fn running_limits(config: &ConfigIndex) -> HashMap<AccountName, u32> {
     let accounts = config.manifest().accounts.iter();
     let limited = accounts.filter_map(|account| {
-        let most = u32::try_from(account.limits.in_flight?).unwrap_or(u32::MAX);
-        Some((account.name.clone(), most))
+        let max_running = u32::try_from(account.limits.in_flight?).unwrap_or(u32::MAX);
+        Some((account.name.clone(), max_running))
     });
     limited.collect()
 }
--- a/src/coltsfootnotch/daemon/entry/attempt.rs
+++ b/src/coltsfootnotch/daemon/entry/attempt_task.rs
@@ -1,4 +1,4 @@
-//! The task of one attempt: it owns the attempt's stream and delivers the pieces in order, once.
+//! The task of one attempt, which owns its stream and delivers the chunks in order, exactly once.
 
 use std::time::Duration;
 
@@ -9,57 +9,57 @@
 use metrics::Histogram;
 use tokio::sync::{mpsc, watch};
 
-use super::ReplyPart;
-use super::attempt_end::{AttemptEnd, Collected};
+use super::ResponsePart;
+use super::attempt_result::{AttemptResult, CollectedResponse};
 use crate::core::HostCx;
 use crate::util::events;
 
-/// How long a broken connection may take to come back before the answer is given up.
+/// Time within which a broken connection must be re-established to resume the response.
 pub(super) const RESUME_WINDOW: Duration = Duration::from_secs(5);
-/// Largest answer that is collected whole, in bytes; a larger one ends in an error.
-const MAX_COLLECTED: usize = 8 * 1024 * 1024;
+/// Maximum size of a collected response body, in bytes; a larger one fails the attempt.
+const MAX_COLLECTED_BYTES: usize = 8 * 1024 * 1024;
 
-/// A connection to a sidecar run; none while it is down.
+/// Watches the connection to a sidecar; none while it is down.
 pub(super) type LinkWatch = watch::Receiver<Option<(Incarnation, LinkTx)>>;
 
-/// One attempt.
+/// State of one attempt.
 pub(super) struct AttemptTask {
     pub(super) cx: HostCx,
     pub(super) begin: Begin,
     pub(super) link: LinkWatch,
-    pub(super) reply: mpsc::Sender<ReplyPart>,
-    /// Whether pieces go to the caller as they come; else the answer is collected.
+    pub(super) response: mpsc::Sender<ResponsePart>,
+    /// Whether chunks are streamed to the caller; otherwise the response is collected.
     pub(super) stream: bool,
     pub(super) write_timeout: Duration,
-    pub(super) next: u64,
-    pub(super) collected: Collected,
-    pub(super) first_piece: Option<Duration>,
-    /// When the last piece came, for the time between tokens.
-    pub(super) last_piece: Option<Duration>,
-    pub(super) gaps: Histogram,
+    pub(super) next_seq: u64,
+    pub(super) collected: CollectedResponse,
+    pub(super) first_chunk_at: Option<Duration>,
+    /// Arrival time of the last chunk, for the time between tokens.
+    pub(super) last_chunk_at: Option<Duration>,
+    pub(super) chunk_gaps: Histogram,
     pub(super) upstream: Option<UpstreamName>,
 }
 
 enum Step {
-    Go,
-    End(AttemptEnd),
+    Continue,
+    Finished(AttemptResult),
     Broken,
 }
 
 impl AttemptTask {
-    /// Runs the attempt to its end.
-    pub(super) async fn run(mut self) -> AttemptEnd {
+    /// Runs the attempt until it finishes.
+    pub(super) async fn run(mut self) -> AttemptResult {
         let Some(mut stream) = self.open().await else {
-            return AttemptEnd::NotSent;
+            return AttemptResult::NotSent;
         };
         loop {
             match self.read_until_broken(&mut stream).await {
-                Step::End(end) => return end,
-                Step::Go | Step::Broken => {}
+                Step::Finished(result) => return result,
+                Step::Continue | Step::Broken => {}
             }
             let Some(resumed) = self.resume().await else {
-                return AttemptEnd::Lost {
-                    delivered: self.next > 0 && self.stream,
+                return AttemptResult::ConnectionLost {
+                    delivered: self.next_seq > 0 && self.stream,
                     upstream: self.upstream,
                 };
             };
@@ -70,12 +70,12 @@
     async fn open(&mut self) -> Option<AttemptStream> {
         let link = self.current_link()?;
         let mut stream = link.open().await.ok()?;
-        // A write that fails may still have reached the sidecar; that shows when reading.
+        // A failed write may still have reached the sidecar, which the read then shows.
         let _sent = write_frame(&mut stream.send, &self.begin).await;
         Some(stream)
     }
 
-    /// The connection to the sidecar run that the attempt names, if it is up.
+    /// Returns the connection to the sidecar incarnation of the attempt, if it is up.
     fn current_link(&self) -> Option<LinkTx> {
         let link = self.link.borrow();
         let (incarnation, tx) = link.as_ref()?;
@@ -90,10 +90,12 @@
     }
 
     async fn reopen(&mut self) -> Option<AttemptStream> {
-        self.begin.cause = BeginCause::Resume { from: self.next };
+        self.begin.cause = BeginCause::Resume {
+            from: self.next_seq,
+        };
         self.begin.call.body.clear();
         loop {
-            // The link that broke may be shown as up until its end is noticed.
+            // The watch may report a broken link as up until its loss is detected.
             self.link.changed().await.ok()?;
             if self
                 .link
@@ -111,42 +113,44 @@
 
     async fn read_until_broken(&mut self, stream: &mut AttemptStream) -> Step {
         loop {
-            let Ok(reply) = read_frame::<AttemptReply>(&mut stream.recv).await else {
+            let Ok(message) = read_frame::<AttemptReply>(&mut stream.recv).await else {
                 return Step::Broken;
             };
-            match self.take(reply).await {
-                Step::Go => {}
+            match self.on_reply(message).await {
+                Step::Continue => {}
                 step => return step,
             }
         }
     }
 
-    async fn take(&mut self, reply: AttemptReply) -> Step {
-        if reply.attempt() != self.begin.attempt {
-            self.drop_piece("crossed");
-            return Step::Go;
+    async fn on_reply(&mut self, message: AttemptReply) -> Step {
+        if message.attempt() != self.begin.attempt {
+            self.record_dropped_chunk("crossed");
+            return Step::Continue;
         }
-        match reply {
-            AttemptReply::NotStarted { reason, .. } => Step::End(AttemptEnd::NotStarted(reason)),
+        match message {
+            AttemptReply::NotStarted { reason, .. } => {
+                Step::Finished(AttemptResult::NotStarted(reason))
+            }
             AttemptReply::Started { upstream, .. } => {
                 self.upstream = Some(upstream);
-                Step::Go
+                Step::Continue
             }
             AttemptReply::Head {
                 status,
                 content_type,
                 ..
-            } => self.head(status, content_type).await,
-            AttemptReply::Piece { seq, data, .. } => self.piece(seq, data).await,
-            AttemptReply::Done { pieces, usage, .. } if pieces == self.next => {
-                self.done(usage).await
+            } => self.on_head(status, content_type).await,
+            AttemptReply::Piece { seq, data, .. } => self.on_chunk(seq, data).await,
+            AttemptReply::Done { pieces, usage, .. } if pieces == self.next_seq => {
+                self.on_done(usage).await
             }
-            // Pieces are missing: the answer must not pass for a whole one.
+            // Chunks are missing, so the response must not count as complete.
             AttemptReply::Done { .. } => Step::Broken,
             AttemptReply::Failed { reason, .. } => {
-                let delivered = self.stream && self.next > 0;
+                let delivered = self.stream && self.next_seq > 0;
                 let upstream = self.upstream.take();
-                Step::End(AttemptEnd::Failed {
+                Step::Finished(AttemptResult::Failed {
                     reason,
                     delivered,
                     upstream,
@@ -155,63 +159,64 @@
         }
     }
 
-    async fn done(&mut self, usage: Usage) -> Step {
-        // An answer without a body still has a status.
+    async fn on_done(&mut self, usage: Usage) -> Step {
+        // A response without a body still has a status.
         if self.stream
-            && self.next == 0
-            && let Step::End(end) = self.send_head().await
+            && self.next_seq == 0
+            && let Step::Finished(result) = self.send_head().await
         {
-            return Step::End(end);
+            return Step::Finished(result);
         }
         let collected = (!self.stream).then(|| std::mem::take(&mut self.collected));
-        let first_piece = self.first_piece;
-        Step::End(AttemptEnd::Done {
+        let first_chunk_at = self.first_chunk_at;
+        Step::Finished(AttemptResult::Done {
             usage,
             collected,
-            first_piece,
+            first_chunk_at,
         })
     }
 
-    async fn head(&mut self, status: u16, content_type: String) -> Step {
-        if self.next > 0 || self.collected.status != 0 {
-            return Step::Go;
+    async fn on_head(&mut self, status: u16, content_type: String) -> Step {
+        if self.next_seq > 0 || self.collected.status != 0 {
+            return Step::Continue;
         }
         self.collected.status = status;
         self.collected.content_type = content_type;
-        Step::Go
+        Step::Continue
     }
 
-    async fn piece(&mut self, seq: u64, data: Vec<u8>) -> Step {
-        if seq < self.next {
-            self.drop_piece("doubled");
-            return Step::Go;
+    async fn on_chunk(&mut self, seq: u64, data: Vec<u8>) -> Step {
+        if seq < self.next_seq {
+            self.record_dropped_chunk("doubled");
+            return Step::Continue;
         }
-        if seq > self.next {
+        if seq > self.next_seq {
             return Step::Broken;
         }
-        let first = self.next == 0;
-        self.next += 1;
+        let first = self.next_seq == 0;
+        self.next_seq += 1;
         let now = self.cx.now();
-        if let Some(last) = self.last_piece.replace(now) {
-            self.gaps.record(now.saturating_sub(last).as_secs_f64());
+        if let Some(last) = self.last_chunk_at.replace(now) {
+            self.chunk_gaps
+                .record(now.saturating_sub(last).as_secs_f64());
         }
         if first {
-            self.first_piece = Some(now);
+            self.first_chunk_at = Some(now);
         }
         if !self.stream {
             return self.collect(&data);
         }
-        if first && let Step::End(end) = self.send_head().await {
-            return Step::End(end);
+        if first && let Step::Finished(result) = self.send_head().await {
+            return Step::Finished(result);
         }
-        self.deliver(ReplyPart::Piece(Bytes::from(data))).await
+        self.deliver(ResponsePart::Chunk(Bytes::from(data))).await
     }
 
-    /// The head goes out with the first piece, so that until then another sidecar may be tried.
+    /// Sends the head along with the first chunk; until then the attempt can be retried.
     async fn send_head(&mut self) -> Step {
         let status = self.collected.status;
         let content_type = std::mem::take(&mut self.collected.content_type);
-        self.deliver(ReplyPart::Head {
+        self.deliver(ResponsePart::Head {
             status,
             content_type,
         })
@@ -219,27 +224,27 @@
     }
 
     fn collect(&mut self, data: &[u8]) -> Step {
-        if self.collected.body.len() + data.len() > MAX_COLLECTED {
+        if self.collected.body.len() + data.len() > MAX_COLLECTED_BYTES {
             let reason = FailReason::UpstreamBroke;
             let upstream = self.upstream.take();
-            return Step::End(AttemptEnd::Failed {
+            return Step::Finished(AttemptResult::Failed {
                 reason,
                 delivered: false,
                 upstream,
             });
         }
         self.collected.body.extend_from_slice(data);
-        Step::Go
+        Step::Continue
     }
 
-    async fn deliver(&mut self, part: ReplyPart) -> Step {
-        match tokio::time::timeout(self.write_timeout, self.reply.send(part)).await {
-            Ok(Ok(())) => Step::Go,
-            Ok(Err(_)) | Err(_) => Step::End(AttemptEnd::CallerStalled),
+    async fn deliver(&mut self, part: ResponsePart) -> Step {
+        match tokio::time::timeout(self.write_timeout, self.response.send(part)).await {
+            Ok(Ok(())) => Step::Continue,
+            Ok(Err(_)) | Err(_) => Step::Finished(AttemptResult::CallerStalled),
         }
     }
 
-    fn drop_piece(&self, how: &str) {
+    fn record_dropped_chunk(&self, how: &str) {
         self.cx
             .metrics
             .counter("dropped_pieces", &[("how", how)])
--- a/src/coltsfootnotch/daemon/entry/chat.rs
+++ b/src/coltsfootnotch/daemon/entry/chat.rs
@@ -1,12 +1,12 @@
-//! What an entry needs to know of a chat completion request; the rest passes through unread.
+//! Parses the fields of a chat completion request that the entry uses.
 
 use coltsfootnotch_wire::announce::PREFIX_BYTES;
 use serde::Deserialize;
 use sha2::{Digest, Sha256};
 
-/// Tokens assumed for an answer whose request states no length.
+/// Maximum tokens of the response when the request sets none.
 const DEFAULT_MAX_TOKENS: u64 = 256;
-/// Bytes of text per token, roughly, for the first estimate of a prompt's cost.
+/// Approximate bytes of text per token, for the estimated cost of a prompt.
 const BYTES_PER_TOKEN: usize = 4;
 
 #[derive(Debug, Deserialize)]
@@ -25,21 +25,21 @@
     content: serde_json::Value,
 }
 
-/// A chat completion request, as far as it matters here.
+/// The parsed fields of a chat completion request.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct ChatRequest {
     pub(super) model: String,
     pub(super) stream: bool,
-    /// Tokens of the prompt, roughly.
+    /// Approximate number of prompt tokens.
     pub(super) tokens_in: u64,
-    /// Most tokens of the answer.
+    /// Maximum tokens of the response.
     pub(super) tokens_out: u64,
-    /// Digest of the prompt's beginning, as cache events name it.
+    /// Digest of the prompt's prefix, as in cache events.
     pub(super) prefix: u64,
 }
 
 impl ChatRequest {
-    /// Reads a request body.
+    /// Parses a request body.
     pub(super) fn parse(body: &[u8]) -> Result<Self, serde_json::Error> {
         let chat: ChatBody = serde_json::from_slice(body)?;
         let contents: Vec<&str> = chat
@@ -59,7 +59,7 @@
     }
 }
 
-/// The first eight bytes of a SHA-256, as a number.
+/// The first eight bytes of a SHA-256 digest, as a big-endian number.
 pub(super) fn digest64(bytes: &[u8]) -> u64 {
     let digest = Sha256::digest(bytes);
     digest
--- a/src/coltsfootnotch/daemon/entry/config.rs
+++ b/src/coltsfootnotch/daemon/entry/config.rs
@@ -1,4 +1,4 @@
-//! What an entry is started with.
+//! The configuration of an entry.
 
 use std::net::SocketAddr;
 
@@ -7,18 +7,18 @@
 
 use crate::daemon::ControlAddress;
 
-/// What an entry is started with.
+/// The configuration with which an entry starts.
 pub struct EntryConfig {
     /// Address of its fleet endpoint (UDP).
     pub fleet: SocketAddr,
-    /// Address for callers.
+    /// Address of its HTTP listener for callers.
     pub callers: SocketAddr,
     /// The control hosts.
     pub control: Vec<ControlAddress>,
     /// Its certificate and key.
     pub credentials: Credentials,
-    /// Bounds on what callers can make it hold.
+    /// Bounds on connections, requests, memory and queues.
     pub limits: Limits,
-    /// Time for requests in progress at a graceful shutdown.
+    /// Time that a graceful shutdown leaves to requests in progress.
     pub shutdown: std::time::Duration,
 }
--- a/src/coltsfootnotch/daemon/entry/suspects.rs
+++ b/src/coltsfootnotch/daemon/entry/crash_suspects.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of requests that crash upstreams, from every sidecar.
+//! Tracks requests suspected of crashing upstreams, from the reports of all sidecars.
 
 use std::time::Duration;
 
@@ -9,36 +9,37 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{ContentKey, CrashNews, CrashRef};
 
-use super::Arrival;
+use super::ClientRequest;
 
-/// Verdicts on requests by their content, whoever sends them again and through whichever entry.
-pub(super) struct Suspects {
-    watch: CrashTracker,
+/// Crash suspects by account and content, so that a request sent again through another entry is
+/// recognised.
+pub(super) struct CrashSuspects {
+    tracker: CrashTracker,
 }
 
-impl Suspects {
+impl CrashSuspects {
     pub(super) fn new(host: &HostName, incarnation: Incarnation) -> Self {
         Self {
-            watch: CrashTracker::new(Origin::new(host.clone(), incarnation)),
+            tracker: CrashTracker::new(Origin::new(host.clone(), incarnation)),
         }
     }
 
-    /// A sidecar tells of a crash.
-    pub(super) fn on_crash(&mut self, now: Duration, news: CrashNews) {
+    /// Merges the crash report of a sidecar.
+    pub(super) fn on_crash(&mut self, now: Duration, crash: CrashNews) {
         let report = CrashReport {
-            id: crash_id(&news.crash),
-            upstream: news.upstream,
-            suspects: news.suspects.iter().map(suspect).collect(),
-            age: Duration::from_millis(news.age_ms),
+            id: crash_id(&crash.crash),
+            upstream: crash.upstream,
+            suspects: crash.suspects.iter().map(suspect).collect(),
+            age: Duration::from_millis(crash.age_ms),
         };
         let delta = CrashDelta {
             reports: vec![report],
             ..CrashDelta::default()
         };
-        self.watch.merge(&delta, now);
+        self.tracker.merge(&delta, now);
     }
 
-    /// A sidecar tells that a suspect ended well.
+    /// Merges the report of a sidecar that a suspect completed without a crash.
     pub(super) fn on_cleared(&mut self, now: Duration, key: &ContentKey, crashes: &[CrashRef]) {
         let key = suspect(key);
         let clear = |crash| Clearance {
@@ -50,29 +51,29 @@
             clearances,
             ..CrashDelta::default()
         };
-        self.watch.merge(&delta, now);
+        self.tracker.merge(&delta, now);
     }
 
-    /// Whether and how a request may run.
-    pub(super) fn verdict(&self, now: Duration, arrival: &Arrival) -> RunPolicy {
-        self.watch.run_policy(&key_of(arrival), now)
+    /// How a request may run: unrestricted, isolated or refused.
+    pub(super) fn run_policy(&self, now: Duration, req: &ClientRequest) -> RunPolicy {
+        self.tracker.run_policy(&key_of(req), now)
     }
 
-    /// The crashes that a request is suspected of.
-    pub(super) fn suspected_of(&self, now: Duration, arrival: &Arrival) -> Vec<CrashRef> {
-        let crashes = self.watch.suspected_of(&key_of(arrival), now);
+    /// The crashes of which a request is suspected.
+    pub(super) fn suspected_of(&self, now: Duration, req: &ClientRequest) -> Vec<CrashRef> {
+        let crashes = self.tracker.suspected_of(&key_of(req), now);
         crashes.into_iter().map(crash_ref).collect()
     }
 
     pub(super) fn tick(&mut self, now: Duration) {
-        self.watch.remove_expired(now);
+        self.tracker.remove_expired(now);
     }
 }
 
-fn key_of(arrival: &Arrival) -> SuspectKey {
+fn key_of(req: &ClientRequest) -> SuspectKey {
     SuspectKey {
-        account: arrival.account.clone(),
-        content: ContentDigest(arrival.content),
+        account: req.account.clone(),
+        content: ContentDigest(req.content),
     }
 }
 
--- a/src/coltsfootnotch/daemon/entry/handle.rs
+++ b/src/coltsfootnotch/daemon/entry/handle.rs
@@ -1,4 +1,4 @@
-//! A running entry, as whoever started it sees it.
+//! Starts an entry and controls a running one.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,17 +19,17 @@
 use crate::daemon::{StartError, Starter};
 use crate::util::event_loop;
 
-/// Time for the daemon to answer; one that ends meanwhile does not.
-const LOOK_PATIENCE: Duration = Duration::from_secs(1);
+/// Time within which the daemon must reply; a stopped daemon never does.
+const SUMMARY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an entry sees of the sidecars.
+/// The connected sidecars and the pools that they serve.
 #[derive(Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct ConnectionSummary {
     pub(super) sidecars: usize,
     pub(super) pools: BTreeSet<PoolName>,
 }
 
-/// A running entry.
+/// Handle of a running entry.
 pub struct EntryHandle {
     tx: Channel<EntryMsg>,
     thread: JoinHandle<()>,
@@ -40,51 +40,51 @@
 }
 
 impl EntryHandle {
-    /// The address for callers.
+    /// The bound address of the HTTP listener for callers.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// The address of its fleet endpoint.
+    /// The bound address of the fleet endpoint (UDP).
     #[must_use]
     pub fn fleet(&self) -> SocketAddr {
         self.fleet
     }
 
-    /// Whether callers may be sent here: a closure for the readiness probe.
+    /// A closure for the readiness probe, which returns whether the entry accepts requests.
     pub fn ready(&self) -> impl Fn() -> bool + Send + Sync + 'static + use<> {
         let ready = Arc::clone(&self.ready);
         move || ready.load(Ordering::Relaxed)
     }
 
-    /// Whether every one of the pools has a connected sidecar.
+    /// Whether each of the pools has a connected sidecar.
     #[must_use]
     pub fn serving(&self, pools: &[PoolName]) -> bool {
-        let seen = self.look();
-        pools.iter().all(|pool| seen.pools.contains(pool))
+        let summary = self.connection_summary();
+        pools.iter().all(|pool| summary.pools.contains(pool))
     }
 
-    /// Sidecars connected.
+    /// Number of connected sidecars.
     #[must_use]
     pub fn connected(&self) -> usize {
-        self.look().sidecars
+        self.connection_summary().sidecars
     }
 
-    /// Asks the daemon what it sees; nothing when it has ended.
-    fn look(&self) -> Seen {
+    /// Queries the daemon; the summary is empty when the daemon has stopped.
+    fn connection_summary(&self) -> ConnectionSummary {
         let (tx, rx) = mpsc::channel();
-        self.tx.send(EntryMsg::Look(tx));
-        rx.recv_timeout(LOOK_PATIENCE).unwrap_or_default()
+        self.tx.send(EntryMsg::ConnectionSummary(tx));
+        rx.recv_timeout(SUMMARY_TIMEOUT).unwrap_or_default()
     }
 
-    /// Control traffic so far.
+    /// Counters of the control traffic since the start.
     #[must_use]
     pub fn traffic(&self) -> Arc<Traffic> {
         Arc::clone(&self.traffic)
     }
 
-    /// Starts a graceful shutdown: requests in progress finish, no new ones are taken.
+    /// Starts a graceful shutdown: requests in progress finish, new ones are refused.
     pub fn stop(&self) {
         self.tx.send(EntryMsg::Stop);
     }
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Waits until the daemon has ended.
+    /// Waits until the daemon has stopped.
     pub fn join(self) {
-        // The thread's panic was already reported by its hook; there is nothing to add.
-        let _ended = self.thread.join();
+        // The panic hook has already reported a panic of the thread.
+        let _result = self.thread.join();
     }
 }
 
@@ -129,8 +129,8 @@
     })
 }
 
-/// What the daemon's thread hands out once it runs.
-pub(super) struct Started {
+/// What the daemon's thread returns once it has started.
+pub(super) struct StartedEntry {
     pub(super) tx: Channel<EntryMsg>,
     pub(super) callers: SocketAddr,
     pub(super) fleet: SocketAddr,
--- /dev/null
+++ b/src/coltsfootnotch/daemon/entry/ledger_ops.rs
@@ -0,0 +1,107 @@
+//! The ledger writes of an entry for a non-repeatable call.
+
+use coltsfootnotch_state::{
+    AttemptId as LedgerAttempt, Close, Disowned, LedgerOp, Outcome, ProcessId, Record,
+    RecordedBody, Settle,
+};
+use coltsfootnotch_types::prelude::*;
+use coltsfootnotch_wire::AttemptId;
+
+use super::LedgerKey;
+use super::attempt_result::CollectedResponse;
+use super::requests::ChosenSlot;
+
+/// Converts an attempt id of the wire to that of the ledger.
+pub(super) fn to_ledger_attempt(attempt: AttemptId) -> LedgerAttempt {
+    let number = attempt.request << 8 | u64::from(attempt.attempt & 0xff);
+    LedgerAttempt {
+        entry: attempt.entry,
+        number,
+    }
+}
+
+/// Converts an attempt id of the ledger to that of the wire.
+pub(super) fn to_wire_attempt(attempt: LedgerAttempt) -> AttemptId {
+    let request = attempt.number >> 8;
+    AttemptId {
+        entry: attempt.entry,
+        request,
+        attempt: (attempt.number & 0xff) as u32,
+    }
+}
+
+/// Records the intent to run an attempt.
+pub(super) fn intent(account: &AccountName, key: &LedgerKey, chosen: &ChosenSlot) -> LedgerOp {
+    let sidecar = ProcessId {
+        host: chosen.host.clone(),
+        incarnation: chosen.sidecar,
+    };
+    LedgerOp::intent(
+        account,
+        &key.key,
+        key.body,
+        to_ledger_attempt(chosen.attempt),
+        &sidecar,
+    )
+}
+
+/// Closes an attempt that was not started.
+pub(super) fn close(
+    account: &AccountName,
+    key: &LedgerKey,
+    attempt: AttemptId,
+    by: Disowned,
+) -> LedgerOp {
+    let close = Close {
+        attempt: to_ledger_attempt(attempt),
+        by,
+    };
+    LedgerOp {
+        account: account.clone(),
+        key: key.key.digest,
+        write: Record::Close(close),
+    }
+}
+
+/// Resolves an earlier attempt with the response of a reread call.
+pub(super) fn resolve(
+    account: &AccountName,
+    key: &LedgerKey,
+    attempt: AttemptId,
+    response: &CollectedResponse,
+) -> LedgerOp {
+    let resolve = Settle {
+        attempt: to_ledger_attempt(attempt),
+        outcome: outcome_of(response),
+    };
+    LedgerOp {
+        account: account.clone(),
+        key: key.key.digest,
+        write: Record::Settle(resolve),
+    }
+}
+
+fn outcome_of(response: &CollectedResponse) -> Outcome {
+    let headers = vec![("content-type".to_owned(), response.content_type.clone())];
+    let body = RecordedBody::Whole(response.body.clone());
+    Outcome {
+        status: response.status,
+        headers,
+        body,
+    }
+}
+
+/// Records the response of an attempt.
+pub(super) fn outcome(
+    account: &AccountName,
+    key: &LedgerKey,
+    attempt: AttemptId,
+    response: &CollectedResponse,
+) -> LedgerOp {
+    let write = Record::Outcome(to_ledger_attempt(attempt), outcome_of(response));
+    LedgerOp {
+        account: account.clone(),
+        key: key.key.digest,
+        write,
+    }
+}
--- a/src/coltsfootnotch/daemon/entry/listen.rs
+++ b/src/coltsfootnotch/daemon/entry/listen.rs
@@ -1,4 +1,4 @@
-//! The listener for callers.
+//! The HTTP listener for callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,26 +11,26 @@
 
 use super::EntryConfig;
 use super::actor::EntryMsg;
-use super::callers::Callers;
+use super::request_handler::RequestHandler;
 use crate::core::HostCx;
 use crate::daemon::StartError;
 use crate::util::connections::Connections;
 use crate::util::http_server::{ServerLimits, serve_and_close};
 
-/// What the actor shares with the tasks of callers' connections.
-pub(super) struct Shared {
+/// State that the actor shares with the tasks of caller connections.
+pub(super) struct ListenerState {
     pub(super) config: watch::Receiver<Option<Arc<ConfigIndex>>>,
     pub(super) ready: Arc<AtomicBool>,
-    pub(super) next_request: Arc<AtomicU64>,
+    pub(super) next_request_number: Arc<AtomicU64>,
     pub(super) connections: Arc<Connections>,
 }
 
-/// Starts to take callers; gives the address bound.
+/// Starts the listener and returns its bound address.
 pub(super) fn listen(
     cx: &HostCx,
     cfg: &EntryConfig,
     tx: &Channel<EntryMsg>,
-    shared: Shared,
+    state: ListenerState,
 ) -> Result<SocketAddr, StartError> {
     let listener = cx.runtime.block_on(TcpListener::bind(cfg.callers))?;
     let address = listener.local_addr()?;
@@ -39,17 +39,17 @@
         header_bytes: cfg.limits.header_bytes,
         read_timeout: cfg.limits.read_timeout(),
     };
-    let callers = Arc::new(Callers {
+    let request_handler = Arc::new(RequestHandler {
         cx: cx.clone(),
-        config: shared.config,
+        config: state.config,
         tx: tx.clone(),
         limits: cfg.limits.clone(),
-        ready: shared.ready,
-        memory: Callers::memory_of(&cfg.limits),
-        next_request: shared.next_request,
+        ready: state.ready,
+        memory: RequestHandler::memory_semaphore(&cfg.limits),
+        next_request_number: state.next_request_number,
     });
-    let handler = move |req, peer| Arc::clone(&callers).answer(req, peer);
-    let connections = shared.connections;
+    let handler = move |req, peer| Arc::clone(&request_handler).handle(req, peer);
+    let connections = state.connections;
     cx.runtime.spawn(serve_and_close(
         listener,
         limits,
--- a/src/coltsfootnotch/daemon/entry/mod.rs
+++ b/src/coltsfootnotch/daemon/entry/mod.rs
@@ -1,31 +1,31 @@
-//! The entry role: takes requests from callers, queues them, delivers answers.
+//! The entry role: accepts requests from callers, queues them and delivers the responses.
 //!
-//! A connection's task reads and checks a request and hands it to the actor as an [`Arrival`]. The
-//! actor owns the queues; it starts a task per attempt, which owns the attempt's stream and sends
-//! the pieces of the answer straight to the caller's connection. How an attempt ended goes back to
-//! the actor, which alone decides what follows.
+//! The task of a connection reads and validates a request and passes it to the actor as a
+//! [`ClientRequest`]. The actor owns the queues and starts a task per attempt, which owns the
+//! attempt's stream and sends the chunks of the response directly to the caller's connection. The
+//! task reports its result to the actor, which alone decides whether to retry.
 
 mod actor;
 mod admission;
-mod arrival;
-mod arrivals;
-mod attempt;
-mod attempt_end;
-mod bookings;
-mod callers;
+mod attempt_result;
+mod attempt_task;
+mod attempts;
 mod chat;
+mod client_request;
 mod config;
-mod doubts;
+mod crash_suspects;
 mod handle;
-mod ledger_answers;
+mod ledger_ops;
+mod ledger_replies;
 mod listen;
-mod outcomes;
 mod proposals;
-mod reply_body;
+mod queueing;
+mod request_handler;
 mod requests;
-mod sidecars;
-mod suspects;
+mod response_body;
+mod sidecar_links;
+mod unresolved;
 
-pub use arrival::{Arrival, BookingKey, ReplyPart};
+pub use client_request::{ClientRequest, LedgerKey, ResponsePart};
 pub use config::EntryConfig;
 pub use handle::{EntryHandle, start};
--- a/src/coltsfootnotch/daemon/entry/proposals.rs
+++ b/src/coltsfootnotch/daemon/entry/proposals.rs
@@ -1,10 +1,9 @@
-//! Writes of the ledger that this entry has proposed, and their answers.
+//! Ledger writes that this entry has proposed and that are pending.
 //!
-//! A relay answers every proposal within some seconds, or its connection is lost. So a write is only
-//! proposed again over another connection, or when its answer says that its outcome is not known. To
-//! propose it again just because the answer is slow would double the load of a group that is slow
-//! already. The ledger gives the same answer to the same write, so the answer to any of its proposals
-//! is good.
+//! A relay replies to every proposal within seconds or its connection is lost. A write is therefore
+//! proposed again only over another connection, after a reply without an outcome, or after a
+//! timeout: earlier retries add load to a control group that is already slow. Ledger writes are
+//! idempotent, so the reply to any proposal of a write is valid.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,58 +15,58 @@
 use crate::core::{decode_reply, encode_op};
 use crate::daemon::RelayClient;
 
-/// Time after which a write is proposed again when its outcome is not known, or over another
-/// connection: elections take a few of these.
-const PROPOSE_AGAIN: Duration = Duration::from_millis(500);
-/// Time after which it is proposed again over the same connection. A relay waits 1.5 s for a leader
-/// and 3 s for a commit, and then answers; later than that, the answer was lost.
-const ANSWER_LOST: Duration = Duration::from_secs(5);
-/// Time after which a proposal is given up.
-const GIVE_UP: Duration = Duration::from_secs(10);
+/// Time after which a write is proposed again without a quorum or over another connection. An
+/// election takes several intervals.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after which a write is proposed again over the same connection. Exceeds the time that a
+/// relay waits for a leader (1.5 s) and a commit (3 s) before it replies.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time after which a write is abandoned and its outcome reported as unknown.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a write is for.
+/// The purpose of a write, which determines how its result is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Purpose {
     Intent,
     Close,
     CloseEarlier,
     Outcome,
-    Settle,
+    Resolve,
 }
 
-/// The ledger's answer to a write, or why it is not known.
-pub(super) struct Answered {
+/// The ledger's reply to a write, or the error of the proposal.
+pub(super) struct ProposalResult {
     pub(super) request: u64,
     pub(super) purpose: Purpose,
     pub(super) reply: Result<LedgerReply, ProposeError>,
 }
 
-struct Pending {
+struct PendingWrite {
     request: u64,
     purpose: Purpose,
     command: Vec<u8>,
-    begun: Duration,
-    /// When it is proposed again over the same connection, if it is not answered.
-    due: Duration,
-    /// When it may be proposed again over another connection.
-    due_elsewhere: Duration,
-    over: Option<LinkId>,
-    /// The numbers under which it was proposed.
+    started: Duration,
+    /// Time at which it is proposed again over the same connection, unless it was answered.
+    retry_at: Duration,
+    /// Time from which it may be proposed again over another connection.
+    retry_on_new_link_at: Duration,
+    link: Option<LinkId>,
+    /// Ids of its proposals.
     ids: Vec<u64>,
 }
 
-/// Writes without an answer.
+/// Pending writes.
 #[derive(Default)]
 pub(super) struct Proposals {
-    pending: BTreeMap<u64, Pending>,
-    /// The write that a number stands for.
+    pending: BTreeMap<u64, PendingWrite>,
+    /// Number of the write by proposal id.
     by_id: BTreeMap<u64, u64>,
     next: u64,
 }
 
 impl Proposals {
-    /// Proposes a write. Without a connection to a relay an intent is not taken; anything else is
-    /// proposed once there is one, since what it records has happened.
+    /// Proposes a write. Without a connection to a relay, an intent returns `None`; any other write
+    /// is kept until there is one, since it records something that has happened.
     pub(super) fn propose(
         &mut self,
         relay: &mut RelayClient,
@@ -76,14 +75,14 @@
         purpose: Purpose,
         op: LedgerOp,
     ) -> Option<()> {
-        let mut pending = Pending {
+        let mut pending = PendingWrite {
             request,
             purpose,
             command: encode_op(&Op::Ledger(op)),
-            begun: now,
-            due: now,
-            due_elsewhere: now,
-            over: None,
+            started: now,
+            retry_at: now,
+            retry_on_new_link_at: now,
+            link: None,
             ids: vec![],
         };
         let number = self.next;
@@ -96,61 +95,72 @@
         Some(())
     }
 
-    fn send(&mut self, relay: &mut RelayClient, now: Duration, number: u64, pending: &mut Pending) {
-        pending.due = now + ANSWER_LOST;
-        pending.due_elsewhere = now + PROPOSE_AGAIN;
-        pending.over = relay.link();
+    fn send(
+        &mut self,
+        relay: &mut RelayClient,
+        now: Duration,
+        number: u64,
+        pending: &mut PendingWrite,
+    ) {
+        pending.retry_at = now + REPLY_TIMEOUT;
+        pending.retry_on_new_link_at = now + RETRY_INTERVAL;
+        pending.link = relay.link();
         if let Some(id) = relay.propose(pending.command.clone()) {
             pending.ids.push(id);
             self.by_id.insert(id, number);
         }
     }
 
-    /// Takes in an answer.
-    pub(super) fn answered(
+    /// Handles the reply to a proposal; returns the result of the write if it is final.
+    pub(super) fn on_reply(
         &mut self,
         now: Duration,
         id: u64,
         reply: Result<Vec<u8>, ProposeError>,
-    ) -> Option<Answered> {
+    ) -> Option<ProposalResult> {
         let number = *self.by_id.get(&id)?;
         let pending = self.pending.get_mut(&number)?;
         let reply = match reply {
             Ok(bytes) => Ok(ledger_reply(&bytes)?),
             Err(ProposeError::Unknown) => {
-                pending.due = now;
+                pending.retry_at = now;
                 return None;
             }
-            // The group may be electing a leader; what has happened is worth recording until then.
+            // The group may be electing a leader; all writes but intents are kept until then.
             Err(ProposeError::NoQuorum) if pending.purpose != Purpose::Intent => {
-                pending.due = now + PROPOSE_AGAIN;
+                pending.retry_at = now + RETRY_INTERVAL;
                 return None;
             }
             Err(e) if pending.ids.len() == 1 => Err(e),
             // An earlier proposal of the same write may still be committed.
             Err(_) => Err(ProposeError::Unknown),
         };
-        self.end(number, reply)
+        self.finish(number, reply)
     }
 
-    /// Proposes unanswered writes again, and gives up old ones.
-    pub(super) fn tick(&mut self, relay: &mut RelayClient, now: Duration) -> Vec<Answered> {
+    /// Proposes overdue writes again, and returns those that have timed out.
+    pub(super) fn tick(&mut self, relay: &mut RelayClient, now: Duration) -> Vec<ProposalResult> {
         let link = relay.link();
-        let is_due = |pending: &Pending| {
-            let elsewhere = link.is_some() && pending.over != link;
-            now >= pending.begun + GIVE_UP
-                || now >= pending.due
-                || (elsewhere && now >= pending.due_elsewhere)
+        let is_due = |pending: &PendingWrite| {
+            let on_new_link = link.is_some() && pending.link != link;
+            now >= pending.started + PROPOSAL_TIMEOUT
+                || now >= pending.retry_at
+                || (on_new_link && now >= pending.retry_on_new_link_at)
         };
-        let due = self.pending.iter().filter(|(_, pending)| is_due(pending));
-        let numbers: Vec<u64> = due.map(|(number, _)| *number).collect();
-        let again = |number| self.again(relay, now, number);
-        numbers.into_iter().filter_map(again).collect()
+        let overdue = self.pending.iter().filter(|(_, pending)| is_due(pending));
+        let numbers: Vec<u64> = overdue.map(|(number, _)| *number).collect();
+        let retry = |number| self.propose_again(relay, now, number);
+        numbers.into_iter().filter_map(retry).collect()
     }
 
-    fn again(&mut self, relay: &mut RelayClient, now: Duration, number: u64) -> Option<Answered> {
-        if now >= self.pending.get(&number)?.begun + GIVE_UP {
-            return self.end(number, Err(ProposeError::Unknown));
+    fn propose_again(
+        &mut self,
+        relay: &mut RelayClient,
+        now: Duration,
+        number: u64,
+    ) -> Option<ProposalResult> {
+        if now >= self.pending.get(&number)?.started + PROPOSAL_TIMEOUT {
+            return self.finish(number, Err(ProposeError::Unknown));
         }
         let mut pending = self.pending.remove(&number)?;
         self.send(relay, now, number, &mut pending);
@@ -158,12 +168,16 @@
         None
     }
 
-    fn end(&mut self, number: u64, reply: Result<LedgerReply, ProposeError>) -> Option<Answered> {
+    fn finish(
+        &mut self,
+        number: u64,
+        reply: Result<LedgerReply, ProposeError>,
+    ) -> Option<ProposalResult> {
         let pending = self.pending.remove(&number)?;
         for id in &pending.ids {
             self.by_id.remove(id);
         }
-        Some(Answered {
+        Some(ProposalResult {
             request: pending.request,
             purpose: pending.purpose,
             reply,
--- a/src/coltsfootnotch/daemon/entry/callers.rs
+++ b/src/coltsfootnotch/daemon/entry/request_handler.rs
@@ -1,4 +1,4 @@
-//! Requests from callers: read, checked, handed to the actor, answered.
+//! Handles HTTP requests of callers: authenticates, routes and passes them to the actor.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,43 +21,43 @@
 
 use super::actor::EntryMsg;
 use super::chat::ChatRequest;
-use super::reply_body::ReplyBody;
-use super::{Arrival, BookingKey, ReplyPart};
+use super::response_body::ResponseBody;
+use super::{ClientRequest, LedgerKey, ResponsePart};
 use crate::core::{HostCx, Refusal, RefusalKind};
 use crate::util::http_server::{AnyResponse, full, read_body};
 
-/// Where chat completions are asked for, here and at the engines.
+/// Path of chat completions, at the entry and at the engines.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// Pieces between an attempt and its caller's connection; a slow caller holds up its own stream only.
-const REPLY_BUFFER: usize = 32;
-/// Memory is accounted in these units, in bytes.
-const MEMORY_UNIT: u64 = 1024;
-/// The request id, on every answer.
-const REQUEST_ID: &str = "x-request-id";
-/// The time a caller gives the request, in milliseconds; it shortens the configured deadline.
-const DEADLINE: &str = "x-deadline-ms";
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// Chunks buffered between an attempt and its caller; a slow caller delays its own stream only.
+const RESPONSE_BUFFER: usize = 32;
+/// Bytes per permit of the memory semaphore.
+const MEMORY_PERMIT_BYTES: u64 = 1024;
+/// Header of every response that carries the request id.
+const REQUEST_ID_HEADER: &str = "x-request-id";
+/// Header with the caller's timeout in milliseconds, which can only shorten the configured one.
+const DEADLINE_HEADER: &str = "x-deadline-ms";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 const JSON: &str = "application/json";
 
-/// What every caller's connection shares.
-pub(super) struct Callers {
+/// State shared by the connections of all callers.
+pub(super) struct RequestHandler {
     pub(super) cx: HostCx,
     pub(super) config: watch::Receiver<Option<Arc<ConfigIndex>>>,
     pub(super) tx: Channel<EntryMsg>,
     pub(super) limits: Limits,
     pub(super) ready: Arc<AtomicBool>,
     pub(super) memory: Arc<Semaphore>,
-    pub(super) next_request: Arc<AtomicU64>,
+    pub(super) next_request_number: Arc<AtomicU64>,
 }
 
-/// Tells the actor when the caller goes away before the answer has ended.
-pub(super) struct CallerGuard {
+/// Notifies the actor when the caller disconnects before its response is complete.
+pub(super) struct DisconnectGuard {
     request: u64,
     id: String,
     tx: Option<Channel<EntryMsg>>,
 }
 
-impl CallerGuard {
+impl DisconnectGuard {
     pub(super) fn id(&self) -> &str {
         &self.id
     }
@@ -67,18 +67,18 @@
     }
 }
 
-impl Drop for CallerGuard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(tx) = self.tx.take() {
-            tx.send(EntryMsg::CallerGone {
+            tx.send(EntryMsg::CallerDisconnected {
                 request: self.request,
             });
         }
     }
 }
 
-/// What a request asks for, before it has a body that is kept.
-struct Asked {
+/// The destination and the cost estimate of a request.
+struct Route {
     pool: PoolName,
     estimate: ServiceUnits,
     prefix: u64,
@@ -87,34 +87,35 @@
     stream: bool,
 }
 
-impl Callers {
-    /// The bound on memory as a semaphore.
-    pub(super) fn memory_of(limits: &Limits) -> Arc<Semaphore> {
-        let units = (limits.memory_bytes / MEMORY_UNIT).min(Semaphore::MAX_PERMITS as u64);
+impl RequestHandler {
+    /// Creates the semaphore that bounds the memory of request bodies.
+    pub(super) fn memory_semaphore(limits: &Limits) -> Arc<Semaphore> {
+        let permits =
+            (limits.memory_bytes / MEMORY_PERMIT_BYTES).min(Semaphore::MAX_PERMITS as u64);
         Arc::new(Semaphore::new(
-            usize::try_from(units).unwrap_or(Semaphore::MAX_PERMITS),
+            usize::try_from(permits).unwrap_or(Semaphore::MAX_PERMITS),
         ))
     }
 
-    /// Answers one request.
-    pub(super) async fn answer(
+    /// Handles one request.
+    pub(super) async fn handle(
         self: Arc<Self>,
         req: Request<Incoming>,
         _: SocketAddr,
     ) -> AnyResponse {
-        let request = self.next_request.fetch_add(1, Ordering::Relaxed);
+        let request = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{request}", self.cx.identity.incarnation);
-        let mut response = match self.try_answer(req, request, &id).await {
+        let mut response = match self.try_handle(req, request, &id).await {
             Ok(response) => response,
-            Err(refusal) => self.refused(&refusal, &id),
+            Err(refusal) => self.refusal_response(&refusal, &id),
         };
         if let Ok(value) = HeaderValue::from_str(&id) {
-            response.headers_mut().insert(REQUEST_ID, value);
+            response.headers_mut().insert(REQUEST_ID_HEADER, value);
         }
         response
     }
 
-    async fn try_answer(
+    async fn try_handle(
         self: &Arc<Self>,
         req: Request<Incoming>,
         request: u64,
@@ -130,104 +131,108 @@
             }
         };
         let (parts, body) = req.into_parts();
-        let account = account_of(&config, &parts.headers)?;
+        let account = authenticate(&config, &parts.headers)?;
         if parts.method == Method::GET && parts.uri.path() == "/v1/models" {
-            return Ok(models(&config));
+            return Ok(list_models(&config));
         }
-        let units =
-            u32::try_from(self.body_bound(&parts).div_ceil(MEMORY_UNIT)).unwrap_or(u32::MAX);
-        let memory = Arc::clone(&self.memory).try_acquire_many_owned(units.max(1));
+        let permits = u32::try_from(self.max_body_bytes(&parts).div_ceil(MEMORY_PERMIT_BYTES))
+            .unwrap_or(u32::MAX);
+        let memory = Arc::clone(&self.memory).try_acquire_many_owned(permits.max(1));
         let memory = memory.map_err(|_| {
             Refusal::not_run(RefusalKind::Overloaded).retry_after(Duration::from_secs(1))
         })?;
         let body = read_body(body, self.limits.body_bytes, self.limits.read_timeout()).await;
         let body = body.map_err(body_refusal)?;
-        let (reply, mut parts_rx) = mpsc::channel(REPLY_BUFFER);
-        let arrival = self.arrival(&config, account, &parts, &body, request, reply)?;
+        let (response, mut response_rx) = mpsc::channel(RESPONSE_BUFFER);
+        let client_request =
+            self.client_request(&config, account, &parts, &body, request, response)?;
         drop(body);
-        let stream = arrival.call.stream;
+        let stream = client_request.call.stream;
         let tx = Some(self.tx.clone());
-        let mut guard = CallerGuard {
+        let mut guard = DisconnectGuard {
             request,
             id: id.to_owned(),
             tx,
         };
-        if !self.tx.send(EntryMsg::Arrive(Box::new(arrival))) {
+        if !self.tx.send(EntryMsg::Request(Box::new(client_request))) {
             guard.disarm();
             return Err(Refusal::not_run(RefusalKind::NotReady));
         }
-        let first = parts_rx.recv().await;
+        let first = response_rx.recv().await;
         drop(memory);
         match first {
-            Some(ReplyPart::Head {
+            Some(ResponsePart::Head {
                 status,
                 content_type,
             }) => {
-                let body = ReplyBody::new(parts_rx, guard);
-                Ok(streamed(status, &content_type, stream, body))
+                let body = ResponseBody::new(response_rx, guard);
+                Ok(response_with_body(status, &content_type, stream, body))
             }
-            Some(ReplyPart::Failed(refusal)) => {
+            Some(ResponsePart::Failed(refusal)) => {
                 guard.disarm();
                 Err(refusal)
             }
-            Some(ReplyPart::Piece(_) | ReplyPart::End) | None => {
+            Some(ResponsePart::Chunk(_) | ResponsePart::End) | None => {
                 guard.disarm();
                 Err(Refusal::unknown(RefusalKind::ConnectionLost))
             }
         }
     }
 
-    fn body_bound(&self, parts: &Parts) -> u64 {
-        let stated = parts.headers.get(hyper::header::CONTENT_LENGTH);
-        let stated = stated.and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
+    fn max_body_bytes(&self, parts: &Parts) -> u64 {
+        let content_length = parts.headers.get(hyper::header::CONTENT_LENGTH);
+        let content_length =
+            content_length.and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
         let limit = self.limits.body_bytes as u64;
-        let none = parts.method == Method::GET || parts.method == Method::DELETE;
-        stated.unwrap_or(if none { 0 } else { limit }).min(limit)
+        let has_no_body = parts.method == Method::GET || parts.method == Method::DELETE;
+        content_length
+            .unwrap_or(if has_no_body { 0 } else { limit })
+            .min(limit)
     }
 
-    fn arrival(
+    fn client_request(
         &self,
         config: &Arc<ConfigIndex>,
         account: &Account,
         parts: &Parts,
         body: &Bytes,
         request: u64,
-        reply: mpsc::Sender<ReplyPart>,
-    ) -> Result<Arrival, Refusal> {
-        let asked = asked(config, parts, body)?;
-        let idempotency_key = header(&parts.headers, IDEMPOTENCY_KEY).map(str::to_owned);
-        let booking = if asked.repeatable {
+        response: mpsc::Sender<ResponsePart>,
+    ) -> Result<ClientRequest, Refusal> {
+        let route = resolve_route(config, parts, body)?;
+        let idempotency_key = header(&parts.headers, IDEMPOTENCY_KEY_HEADER).map(str::to_owned);
+        let ledger_key = if route.repeatable {
             None
         } else {
-            Some(booking_key(idempotency_key.as_deref(), parts, body)?)
+            Some(ledger_key(idempotency_key.as_deref(), parts, body)?)
         };
         let now = self.cx.now();
-        let deadline = now + deadline(config, account, &asked.pool, &parts.headers)?;
+        let deadline = now + request_timeout(config, account, &route.pool, &parts.headers)?;
         let call = Call {
             method: parts.method.to_string(),
-            path: asked.path,
+            path: route.path,
             content_type: header(&parts.headers, CONTENT_TYPE.as_str()).map(str::to_owned),
             idempotency_key,
             body: body.to_vec(),
-            stream: asked.stream,
+            stream: route.stream,
         };
-        Ok(Arrival {
+        Ok(ClientRequest {
             request,
             account: account.name.clone(),
-            pool: asked.pool,
+            pool: route.pool,
             arrived: now,
             deadline,
-            estimate: asked.estimate,
-            prefix: asked.prefix,
+            estimate: route.estimate,
+            prefix: route.prefix,
             content: content_digest(parts, body),
-            booking,
+            ledger_key,
             call,
             config: Arc::clone(config),
-            reply,
+            response,
         })
     }
 
-    fn refused(&self, refusal: &Refusal, id: &str) -> AnyResponse {
+    fn refusal_response(&self, refusal: &Refusal, id: &str) -> AnyResponse {
         let (kind, run) = (refusal.kind.name(), refusal.run.to_string());
         let labels = [("type", kind.as_str()), ("run", run.as_str())];
         self.cx.metrics.counter("refusals", &labels).increment(1);
@@ -245,7 +250,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn account_of<'c>(config: &'c ConfigIndex, headers: &HeaderMap) -> Result<&'c Account, Refusal> {
+fn authenticate<'c>(config: &'c ConfigIndex, headers: &HeaderMap) -> Result<&'c Account, Refusal> {
     let unauthenticated = || Refusal::not_run(RefusalKind::Unauthenticated);
     let bearer = header(headers, AUTHORIZATION.as_str()).ok_or_else(unauthenticated)?;
     let key = bearer.strip_prefix("Bearer ").ok_or_else(unauthenticated)?;
@@ -253,9 +258,9 @@
     config.account_of_key(&hash).ok_or_else(unauthenticated)
 }
 
-fn asked(config: &ConfigIndex, parts: &Parts, body: &[u8]) -> Result<Asked, Refusal> {
+fn resolve_route(config: &ConfigIndex, parts: &Parts, body: &[u8]) -> Result<Route, Refusal> {
     if parts.uri.path() == CHAT_PATH {
-        return chat(config, parts, body);
+        return chat_route(config, parts, body);
     }
     let method = parts.method.as_str();
     match config.service_call(method, parts.uri.path()) {
@@ -267,7 +272,7 @@
                 .uri
                 .query()
                 .map_or(String::new(), |query| format!("?{query}"));
-            Ok(Asked {
+            Ok(Route {
                 pool: service.name.clone(),
                 estimate: service.service(),
                 prefix: 0,
@@ -279,7 +284,7 @@
     }
 }
 
-fn chat(config: &ConfigIndex, parts: &Parts, body: &[u8]) -> Result<Asked, Refusal> {
+fn chat_route(config: &ConfigIndex, parts: &Parts, body: &[u8]) -> Result<Route, Refusal> {
     if parts.method != Method::POST {
         return Err(Refusal::not_run(RefusalKind::NotFound));
     }
@@ -287,7 +292,7 @@
     let model = config
         .model(&chat.model)
         .ok_or(Refusal::not_run(RefusalKind::NotFound))?;
-    Ok(Asked {
+    Ok(Route {
         pool: model.name.clone(),
         estimate: model.token_weights.service(chat.tokens_in, chat.tokens_out),
         prefix: chat.prefix,
@@ -297,11 +302,11 @@
     })
 }
 
-fn booking_key(key: Option<&str>, parts: &Parts, body: &[u8]) -> Result<BookingKey, Refusal> {
+fn ledger_key(key: Option<&str>, parts: &Parts, body: &[u8]) -> Result<LedgerKey, Refusal> {
     let key = key.ok_or(Refusal::not_run(RefusalKind::IdempotencyKeyMissing))?;
     let key = IdempotencyKey::parse(key).map_err(|_| Refusal::not_run(RefusalKind::BadRequest))?;
     let body = BodyDigest(content_digest(parts, body));
-    Ok(BookingKey { key, body })
+    Ok(LedgerKey { key, body })
 }
 
 /// SHA-256 of method, path and body.
@@ -312,7 +317,7 @@
     digest.finalize().into()
 }
 
-fn deadline(
+fn request_timeout(
     config: &ConfigIndex,
     account: &Account,
     pool: &PoolName,
@@ -321,13 +326,13 @@
     let configured = config
         .deadline(account, pool.as_str())
         .unwrap_or(Duration::from_secs(60));
-    let Some(asked) = header(headers, DEADLINE) else {
+    let Some(requested) = header(headers, DEADLINE_HEADER) else {
         return Ok(configured);
     };
-    let asked: u64 = asked
+    let requested: u64 = requested
         .parse()
         .map_err(|_| Refusal::not_run(RefusalKind::BadRequest))?;
-    Ok(configured.min(Duration::from_millis(asked)))
+    Ok(configured.min(Duration::from_millis(requested)))
 }
 
 fn body_refusal(status: StatusCode) -> Refusal {
@@ -337,7 +342,7 @@
     })
 }
 
-fn models(config: &ConfigIndex) -> AnyResponse {
+fn list_models(config: &ConfigIndex) -> AnyResponse {
     let models = config.manifest().models.iter();
     let data: Vec<_> = models
         .map(|model| serde_json::json!({ "id": model.name.as_str(), "object": "model" }))
@@ -346,7 +351,12 @@
     full(StatusCode::OK, JSON, body.to_string())
 }
 
-fn streamed(status: u16, content_type: &str, stream: bool, body: ReplyBody) -> AnyResponse {
+fn response_with_body(
+    status: u16,
+    content_type: &str,
+    stream: bool,
+    body: ResponseBody,
+) -> AnyResponse {
     let mut response = Response::new(body.boxed());
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let fallback = if stream { "text/event-stream" } else { JSON };
--- a/src/coltsfootnotch/daemon/entry/requests.rs
+++ b/src/coltsfootnotch/daemon/entry/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in progress at one entry.
+//! The active requests of an entry.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,71 +10,72 @@
 use coltsfootnotch_wire::{AttemptId, BeginCause, Run};
 use tokio::task::AbortHandle;
 
-use super::Arrival;
-use super::attempt_end::Collected;
+use super::ClientRequest;
+use super::attempt_result::CollectedResponse;
 
-/// An attempt whose slot is chosen.
+/// An attempt for which a slot was chosen.
 #[derive(Debug, Clone)]
-pub(super) struct Chosen {
+pub(super) struct ChosenSlot {
     pub(super) attempt: AttemptId,
     pub(super) host: HostName,
     pub(super) sidecar: Incarnation,
     pub(super) cause: BeginCause,
-    pub(super) waiting: QueuedRequest,
+    pub(super) queued: QueuedRequest,
 }
 
-/// What a request waits for, with what is needed to go on.
+/// The stage of a request, with the state needed to proceed.
 #[derive(Debug)]
 pub(super) enum Stage {
-    /// A slot.
-    Waiting,
-    /// Its intent is being committed; nothing was sent to the sidecar.
-    Intent(Box<Chosen>),
-    /// The sidecar.
+    /// Waits for a slot.
+    Queued,
+    /// The intent is being committed; nothing was sent to the sidecar.
+    CommittingIntent(Box<ChosenSlot>),
+    /// The attempt was sent to the sidecar.
     Running {
-        chosen: Box<Chosen>,
+        chosen: Box<ChosenSlot>,
         task: AbortHandle,
     },
-    /// Its attempt was not started; the ledger is being told before another may be.
-    Closing(Box<Chosen>),
-    /// Its answer is being recorded.
-    Recording { answer: Collected },
-    /// An earlier attempt of the same call is being settled.
-    Settling(Box<Settling>),
+    /// The attempt was not started and is being closed in the ledger before another one.
+    Closing(Box<ChosenSlot>),
+    /// The response is being recorded in the ledger.
+    Recording { response: CollectedResponse },
+    /// An earlier attempt of the same call is being resolved.
+    Resolving(Box<UnresolvedAttempt>),
 }
 
 /// An earlier attempt that may have run.
 #[derive(Debug, Clone)]
-pub(super) struct Settling {
-    /// The request's own place, to wait again when the earlier attempt did not run.
-    pub(super) waiting: QueuedRequest,
+pub(super) struct UnresolvedAttempt {
+    /// Queued again if the earlier attempt did not run.
+    pub(super) queued: QueuedRequest,
     pub(super) earlier: AttemptId,
     pub(super) sidecar: ProcessId,
-    pub(super) until: std::time::Duration,
+    pub(super) deadline: std::time::Duration,
 }
 
-/// One request.
+/// A request from its admission until it is finished.
 #[derive(Debug)]
-pub(super) struct InProgress {
-    pub(super) arrival: Arrival,
+pub(super) struct ActiveRequest {
+    pub(super) req: ClientRequest,
     pub(super) stage: Stage,
     /// Upstreams on which attempts have failed.
     pub(super) failed_on: Vec<UpstreamName>,
     machine: Machine,
 }
 
-impl InProgress {
-    /// Moves the request on; an event that its chart never expects is a fault of the program.
+impl ActiveRequest {
+    /// Applies an event to the request's state chart; panics on an event that it does not expect.
     pub(super) fn fire(&mut self, event: RequestEvent) {
         if let Err(e) = self.machine.fire(event) {
-            panic!("request {}: {e}", self.arrival.request);
+            panic!("request {}: {e}", self.req.request);
         }
     }
 
-    /// Whether the request was run, if it ended now.
+    /// Whether the request has run, as reported if it finishes now.
     ///
-    /// Once an attempt was sent only the sidecar's word takes it back: see the chart `request`.
-    pub(super) fn run(&self) -> Run {
+    /// Once an attempt was sent, only a report of the sidecar can rule out that it ran (chart
+    /// `request`).
+    pub(super) fn run_status(&self) -> Run {
         let any_of = |states: &[RequestState]| states.iter().any(|state| self.machine.is(*state));
         if any_of(&[
             RequestState::Received,
@@ -98,7 +99,7 @@
 #[derive(Debug)]
 pub(super) struct Requests {
     chart: Arc<Chart>,
-    by_number: HashMap<u64, InProgress>,
+    by_number: HashMap<u64, ActiveRequest>,
 }
 
 impl Requests {
@@ -109,57 +110,57 @@
         }
     }
 
-    /// Takes in an admitted request.
-    pub(super) fn insert(&mut self, arrival: Arrival) {
+    /// Inserts an admitted request.
+    pub(super) fn insert(&mut self, req: ClientRequest) {
         let machine = Machine::new(&self.chart);
-        let request = arrival.request;
-        let mut in_progress = InProgress {
-            arrival,
-            stage: Stage::Waiting,
+        let request = req.request;
+        let mut active = ActiveRequest {
+            req,
+            stage: Stage::Queued,
             failed_on: vec![],
             machine,
         };
-        in_progress.fire(RequestEvent::Admitted);
-        let before = self.by_number.insert(request, in_progress);
+        active.fire(RequestEvent::Admitted);
+        let previous = self.by_number.insert(request, active);
         assert!(
-            before.is_none(),
+            previous.is_none(),
             "the request number {request} is used twice"
         );
     }
 
-    pub(super) fn get(&self, request: u64) -> Option<&InProgress> {
+    pub(super) fn get(&self, request: u64) -> Option<&ActiveRequest> {
         self.by_number.get(&request)
     }
 
-    pub(super) fn get_mut(&mut self, request: u64) -> Option<&mut InProgress> {
+    pub(super) fn get_mut(&mut self, request: u64) -> Option<&mut ActiveRequest> {
         self.by_number.get_mut(&request)
     }
 
-    pub(super) fn remove(&mut self, request: u64) -> Option<InProgress> {
+    pub(super) fn remove(&mut self, request: u64) -> Option<ActiveRequest> {
         self.by_number.remove(&request)
     }
 
-    /// Moves a request on.
+    /// Applies an event to a request, if it is still active.
     pub(super) fn fire(&mut self, request: u64, event: RequestEvent) {
-        if let Some(in_progress) = self.by_number.get_mut(&request) {
-            in_progress.fire(event);
+        if let Some(active) = self.by_number.get_mut(&request) {
+            active.fire(event);
         }
     }
 
-    /// The attempt named, if it is the one that runs; else what came of it is late and is dropped.
-    pub(super) fn running(&self, attempt: AttemptId) -> Option<&Chosen> {
+    /// Returns the running attempt of a request if it is `attempt`, and none for an earlier one.
+    pub(super) fn running(&self, attempt: AttemptId) -> Option<&ChosenSlot> {
         match &self.by_number.get(&attempt.request)?.stage {
             Stage::Running { chosen, .. } if chosen.attempt == attempt => Some(chosen),
             _ => None,
         }
     }
 
-    /// Requests whose earlier attempt is being settled.
-    pub(super) fn settling(&self) -> impl Iterator<Item = (u64, &Settling)> {
+    /// Requests whose earlier attempt is being resolved.
+    pub(super) fn unresolved(&self) -> impl Iterator<Item = (u64, &UnresolvedAttempt)> {
         self.by_number
             .iter()
-            .filter_map(|(request, in_progress)| match &in_progress.stage {
-                Stage::Settling(settling) => Some((*request, &**settling)),
+            .filter_map(|(request, active)| match &active.stage {
+                Stage::Resolving(unresolved) => Some((*request, &**unresolved)),
                 _ => None,
             })
     }
