--- a/src/coltsfootnotch/daemon/entry/actor.rs
+++ b/src/coltsfootnotch/daemon/entry/actor.rs
@@ -71,7 +71,7 @@
     pub(super) tx: Channel<EntryMsg>,
     endpoint: Endpoint,
     config: watch::Sender<Option<Arc<ConfigIndex>>>,
-    fleet: SocketAddr,
+    fleet_address: SocketAddr,
     client_connections: Arc<Connections>,
     pub(super) life: Lifecycle,
     _guard: ChannelGuard,
@@ -113,12 +113,12 @@
         };
         let endpoint = Endpoint::bind(
             &cx.runtime,
-            cfg.fleet,
+            cfg.fleet_address,
             &cfg.credentials,
             incarnation,
             handler,
         )?;
-        let fleet = endpoint.address()?;
+        let fleet_address = endpoint.address()?;
         let config = watch::Sender::new(None);
         let charts = Charts::load()?;
         let life = Lifecycle::new(cx.clone(), &charts.daemon, cfg.shutdown);
@@ -130,11 +130,11 @@
             next_request_number: Arc::clone(&next_request_number),
             connections: Arc::clone(&client_connections),
         };
-        let callers = listen(&cx, &cfg, &tx, state)?;
+        let http_address = listen(&cx, &cfg, &tx, state)?;
         let ready = StartedEntry {
             tx: tx.clone(),
-            callers,
-            fleet,
+            http_address,
+            fleet_address,
             ready: life.ready(),
             traffic: endpoint.traffic(),
         };
@@ -154,14 +154,14 @@
             tx,
             endpoint,
             config,
-            fleet,
+            fleet_address,
             client_connections,
             life,
             _guard: guard,
         };
         actor.cx.log(
             &events::DAEMON_STARTED,
-            &[("callers", &callers), ("fleet", &fleet)],
+            &[("callers", &http_address), ("fleet", &fleet_address)],
         );
         Ok((actor, ready))
     }
@@ -194,7 +194,7 @@
             incarnation: self.cx.identity.incarnation,
             role: Role::Entry,
             domain: self.cx.identity.domain.clone(),
-            address: self.fleet,
+            address: self.fleet_address,
             config: 0,
             pools: vec![],
             leaving: self.life.is_stopping(),
--- a/src/coltsfootnotch/daemon/entry/config.rs
+++ b/src/coltsfootnotch/daemon/entry/config.rs
@@ -10,9 +10,9 @@
 /// The configuration with which an entry starts.
 pub struct EntryConfig {
     /// Address of its fleet endpoint (UDP).
-    pub fleet: SocketAddr,
+    pub fleet_address: SocketAddr,
     /// Address of its HTTP listener for callers.
-    pub callers: SocketAddr,
+    pub http_address: SocketAddr,
     /// The control hosts.
     pub control: Vec<ControlAddress>,
     /// Its certificate and key.
--- a/src/coltsfootnotch/daemon/entry/handle.rs
+++ b/src/coltsfootnotch/daemon/entry/handle.rs
@@ -33,8 +33,8 @@
 pub struct EntryHandle {
     tx: Channel<EntryMsg>,
     thread: JoinHandle<()>,
-    callers: SocketAddr,
-    fleet: SocketAddr,
+    http_address: SocketAddr,
+    fleet_address: SocketAddr,
     ready: Arc<AtomicBool>,
     traffic: Arc<Traffic>,
 }
@@ -42,32 +42,32 @@
 impl EntryHandle {
     /// The bound address of the HTTP listener for callers.
     #[must_use]
-    pub fn callers(&self) -> SocketAddr {
-        self.callers
+    pub fn http_address(&self) -> SocketAddr {
+        self.http_address
     }
 
     /// The bound address of the fleet endpoint (UDP).
     #[must_use]
-    pub fn fleet(&self) -> SocketAddr {
-        self.fleet
+    pub fn fleet_address(&self) -> SocketAddr {
+        self.fleet_address
     }
 
     /// A closure for the readiness probe, which returns whether the entry accepts requests.
-    pub fn ready(&self) -> impl Fn() -> bool + Send + Sync + 'static + use<> {
+    pub fn readiness(&self) -> impl Fn() -> bool + Send + Sync + 'static + use<> {
         let ready = Arc::clone(&self.ready);
         move || ready.load(Ordering::Relaxed)
     }
 
     /// Whether each of the pools has a connected sidecar.
     #[must_use]
-    pub fn serving(&self, pools: &[PoolName]) -> bool {
+    pub fn has_sidecars_for(&self, pools: &[PoolName]) -> bool {
         let summary = self.connection_summary();
         pools.iter().all(|pool| summary.pools.contains(pool))
     }
 
     /// Number of connected sidecars.
     #[must_use]
-    pub fn connected(&self) -> usize {
+    pub fn connected_sidecars(&self) -> usize {
         self.connection_summary().sidecars
     }
 
@@ -122,8 +122,8 @@
     Ok(EntryHandle {
         tx: started.tx,
         thread,
-        callers: started.callers,
-        fleet: started.fleet,
+        http_address: started.http_address,
+        fleet_address: started.fleet_address,
         ready: started.ready,
         traffic: started.traffic,
     })
@@ -132,8 +132,8 @@
 /// What the daemon's thread returns once it has started.
 pub(super) struct StartedEntry {
     pub(super) tx: Channel<EntryMsg>,
-    pub(super) callers: SocketAddr,
-    pub(super) fleet: SocketAddr,
+    pub(super) http_address: SocketAddr,
+    pub(super) fleet_address: SocketAddr,
     pub(super) ready: Arc<AtomicBool>,
     pub(super) traffic: Arc<Traffic>,
 }
--- a/src/coltsfootnotch/daemon/entry/listen.rs
+++ b/src/coltsfootnotch/daemon/entry/listen.rs
@@ -32,7 +32,7 @@
     tx: &Channel<EntryMsg>,
     state: ListenerState,
 ) -> Result<SocketAddr, StartError> {
-    let listener = cx.runtime.block_on(TcpListener::bind(cfg.callers))?;
+    let listener = cx.runtime.block_on(TcpListener::bind(cfg.http_address))?;
     let address = listener.local_addr()?;
     let limits = ServerLimits {
         connections: cfg.limits.connections,
--- a/src/coltsfootnotch/ops/fleet/running.rs
+++ b/src/coltsfootnotch/ops/fleet/running.rs
@@ -119,7 +119,7 @@
     /// Addresses for callers.
     #[must_use]
     pub fn callers(&self) -> Vec<SocketAddr> {
-        self.entries.iter().map(EntryHandle::callers).collect()
+        self.entries.iter().map(EntryHandle::http_address).collect()
     }
 
     /// The stand-in engines.
@@ -244,8 +244,8 @@
             let host = host_name("entry", number)?;
             let cx = self.cx(Role::Entry, &host, plan.domain(number), rng);
             let cfg = EntryConfig {
-                fleet: ANY,
-                callers: ANY,
+                fleet_address: ANY,
+                http_address: ANY,
                 control: self.control_addresses.clone(),
                 credentials: self.credentials(Role::Entry, &host)?,
                 limits: self.limits.clone(),
@@ -332,8 +332,8 @@
         .collect();
         while Instant::now() < until {
             let ready = |(number, entry): (usize, &EntryHandle)| {
-                let connected = entry.connected() >= plan.contacts(number);
-                (entry.ready())() && entry.serving(&pools) && connected
+                let connected = entry.connected_sidecars() >= plan.contacts(number);
+                (entry.readiness())() && entry.has_sidecars_for(&pools) && connected
             };
             if self.entries.iter().enumerate().all(ready) {
                 return Ok(());
--- a/src/coltsfootnotch/ops/serve.rs
+++ b/src/coltsfootnotch/ops/serve.rs
@@ -150,8 +150,8 @@
 
 fn start_entry(cx: &HostCx, settings: &Settings) -> Result<Daemon, ServeError> {
     let cfg = EntryConfig {
-        fleet: settings.listen.fleet,
-        callers: settings
+        fleet_address: settings.listen.fleet,
+        http_address: settings
             .listen
             .callers
             .ok_or(ServeError::NoAddress { what: "callers" })?,
@@ -161,7 +161,7 @@
         shutdown: settings.shutdown(),
     };
     let handle = entry::start(cx.clone(), cfg)?;
-    serve_admin(cx, settings, handle.ready())?;
+    serve_admin(cx, settings, handle.readiness())?;
     Ok(Daemon::Entry(handle))
 }
 
