--- a/crates/fabric/src/any_peer.rs
+++ b/crates/fabric/src/accept_any.rs
@@ -1,9 +1,9 @@
-//! TLS between processes that share no authority.
+//! Certificate verification for processes that share no certificate authority.
 //!
-//! Where nobody hands keys to the hosts, each process makes its own certificate. A connection is then
-//! encrypted, and each side holds the key of the certificate that it shows, but the name in it is
-//! only claimed: who can reach the fleet's ports can claim any. docs/SECURITY.md says when that is
-//! good enough.
+//! Without issued keys, each process uses a self-made certificate. Connections are encrypted and
+//! each side proves possession of its key, but the role and host in a certificate are not
+//! authenticated: anyone who can reach the fleet's ports can claim any of them. docs/SECURITY.md
+//! describes when this is acceptable.
 
 use std::sync::Arc;
 
@@ -13,18 +13,18 @@
 use rustls::{DigitallySignedStruct, DistinguishedName, Error, SignatureScheme};
 use rustls_pki_types::{CertificateDer, ServerName, UnixTime};
 
-/// Takes any certificate whose key the peer holds.
+/// Accepts any certificate whose private key the peer holds.
 #[derive(Debug)]
-pub(crate) struct AnyPeer {
+pub(crate) struct AcceptAnyCertificate {
     provider: Arc<CryptoProvider>,
 }
 
-impl AnyPeer {
+impl AcceptAnyCertificate {
     pub(crate) fn new(provider: Arc<CryptoProvider>) -> Self {
         Self { provider }
     }
 
-    fn check12(
+    fn verify_tls12(
         &self,
         message: &[u8],
         cert: &CertificateDer<'_>,
@@ -34,7 +34,7 @@
         verify_tls12_signature(message, cert, dss, algorithms)
     }
 
-    fn check13(
+    fn verify_tls13(
         &self,
         message: &[u8],
         cert: &CertificateDer<'_>,
@@ -44,14 +44,14 @@
         verify_tls13_signature(message, cert, dss, algorithms)
     }
 
-    fn schemes(&self) -> Vec<SignatureScheme> {
+    fn supported_schemes(&self) -> Vec<SignatureScheme> {
         self.provider
             .signature_verification_algorithms
             .supported_schemes()
     }
 }
 
-impl ServerCertVerifier for AnyPeer {
+impl ServerCertVerifier for AcceptAnyCertificate {
     fn verify_server_cert(
         &self,
         _end_entity: &CertificateDer<'_>,
@@ -69,7 +69,7 @@
         cert: &CertificateDer<'_>,
         dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.check12(message, cert, dss)
+        self.verify_tls12(message, cert, dss)
     }
 
     fn verify_tls13_signature(
@@ -78,15 +78,15 @@
         cert: &CertificateDer<'_>,
         dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.check13(message, cert, dss)
+        self.verify_tls13(message, cert, dss)
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
-        self.schemes()
+        self.supported_schemes()
     }
 }
 
-impl ClientCertVerifier for AnyPeer {
+impl ClientCertVerifier for AcceptAnyCertificate {
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
@@ -106,7 +106,7 @@
         cert: &CertificateDer<'_>,
         dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.check12(message, cert, dss)
+        self.verify_tls12(message, cert, dss)
     }
 
     fn verify_tls13_signature(
@@ -115,10 +115,10 @@
         cert: &CertificateDer<'_>,
         dss: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        self.check13(message, cert, dss)
+        self.verify_tls13(message, cert, dss)
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
-        self.schemes()
+        self.supported_schemes()
     }
 }
--- a/crates/fabric/src/credentials.rs
+++ b/crates/fabric/src/credentials.rs
@@ -1,4 +1,4 @@
-//! What a process shows and whom it trusts.
+//! TLS credentials of a process and the verification of its peers.
 
 use std::sync::Arc;
 
@@ -11,31 +11,31 @@
 use rustls_pki_types::pem::{self, PemObject};
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
 
-use crate::any_peer::AnyPeer;
+use crate::accept_any::AcceptAnyCertificate;
 use crate::{Authority, KeysError, PeerError, PeerId};
 
 const ALPN: &[u8] = b"coltsfootnotch/1";
 
-/// Why credentials can't be used.
+/// An error in loading or applying credentials.
 #[derive(Debug, Display, Error, From)]
 pub enum CredentialsError {
-    /// A PEM text can't be read.
-    #[display("a certificate or key is not PEM")]
+    /// A certificate or key is not valid PEM.
+    #[display("a certificate or key is not valid PEM")]
     Pem(pem::Error),
-    /// TLS refuses them.
-    #[display("the certificate and key don't make TLS credentials")]
+    /// TLS rejected the certificate or key.
+    #[display("TLS rejected the certificate or key")]
     Tls(rustls::Error),
-    /// The authority can't verify clients.
-    #[display("the authority can't be used to verify peers")]
+    /// The authority's certificate can't be used to verify clients.
+    #[display("the certificate of the authority can't be used to verify peers")]
     Verifier(rustls::server::VerifierBuilderError),
-    /// TLS has no cipher suite for QUIC.
-    #[display("TLS offers no cipher suite for QUIC")]
+    /// The TLS provider has no cipher suite that QUIC supports.
+    #[display("the TLS provider has no cipher suite for QUIC")]
     CipherSuite(NoInitialCipherSuite),
-    /// The certificate names no process.
-    #[display("the certificate names no role and host")]
+    /// The certificate contains no role and host.
+    #[display("the certificate contains no role and host")]
     Peer(PeerError),
-    /// No certificate can be made.
-    #[display("a certificate can't be made")]
+    /// A certificate can't be generated.
+    #[display("a certificate can't be generated")]
     Keys(KeysError),
 }
 
@@ -45,15 +45,15 @@
     certificate: CertificateDer<'static>,
     key: PrivateKeyDer<'static>,
     peer: PeerId,
-    /// Whether peers are believed who they claim to be.
-    trusts_any: bool,
+    /// Accepts peers whose certificates the authority didn't sign.
+    accept_any_peer: bool,
 }
 
 impl Credentials {
-    /// Reads three PEM texts.
+    /// Parses the authority's certificate and this process's certificate and key from PEM.
     ///
     /// # Errors
-    /// Returns an error when a text is not PEM or the certificate names no role and host.
+    /// Returns an error when an input is not valid PEM or the certificate contains no role and host.
     pub fn from_pem(
         authority: &str,
         certificate: &str,
@@ -68,15 +68,16 @@
             certificate,
             key,
             peer,
-            trusts_any: false,
+            accept_any_peer: false,
         })
     }
 
-    /// Makes a certificate of this process's own, for a fleet whose hosts are given no keys. Peers
-    /// are believed who they claim to be: the network between the hosts must be closed to others.
+    /// Generates a certificate for a fleet without a shared authority.
+    ///
+    /// Peers are not authenticated, so the network between the hosts must be closed to others.
     ///
     /// # Errors
-    /// Returns an error when the library can't make the certificate.
+    /// Returns an error when the certificate can't be generated.
     ///
     /// ```
     /// use coltsfootnotch_fabric::{Credentials, PeerId};
@@ -87,20 +88,21 @@
     pub fn without_authority(peer: &PeerId) -> Result<Self, CredentialsError> {
         let authority = Authority::generate()?;
         let issued = authority.issue(peer)?;
-        let own = Self::from_pem(authority.certificate(), &issued.certificate, &issued.key)?;
+        let credentials =
+            Self::from_pem(authority.certificate(), &issued.certificate, &issued.key)?;
         Ok(Self {
-            trusts_any: true,
-            ..own
+            accept_any_peer: true,
+            ..credentials
         })
     }
 
-    /// The process that these credentials stand for.
+    /// The process that these credentials identify.
     #[must_use]
     pub fn peer(&self) -> &PeerId {
         &self.peer
     }
 
-    pub(crate) fn server(&self) -> Result<QuicServerConfig, CredentialsError> {
+    pub(crate) fn server_config(&self) -> Result<QuicServerConfig, CredentialsError> {
         let provider = provider();
         let verifier = self.client_verifier(&provider)?;
         let mut tls = rustls::ServerConfig::builder_with_provider(provider)
@@ -115,25 +117,25 @@
         &self,
         provider: &Arc<CryptoProvider>,
     ) -> Result<Arc<dyn ClientCertVerifier>, CredentialsError> {
-        if self.trusts_any {
-            return Ok(Arc::new(AnyPeer::new(Arc::clone(provider))));
+        if self.accept_any_peer {
+            return Ok(Arc::new(AcceptAnyCertificate::new(Arc::clone(provider))));
         }
-        let roots = Arc::new(self.roots()?);
+        let roots = Arc::new(self.root_store()?);
         let builder = WebPkiClientVerifier::builder_with_provider(roots, Arc::clone(provider));
         Ok(builder.build()?)
     }
 
-    pub(crate) fn client(&self) -> Result<QuicClientConfig, CredentialsError> {
+    pub(crate) fn client_config(&self) -> Result<QuicClientConfig, CredentialsError> {
         let provider = provider();
         let builder = rustls::ClientConfig::builder_with_provider(Arc::clone(&provider))
             .with_protocol_versions(&[&rustls::version::TLS13])?;
-        let builder = if self.trusts_any {
-            let verifier = Arc::new(AnyPeer::new(provider));
+        let builder = if self.accept_any_peer {
+            let verifier = Arc::new(AcceptAnyCertificate::new(provider));
             builder
                 .dangerous()
                 .with_custom_certificate_verifier(verifier)
         } else {
-            builder.with_root_certificates(self.roots()?)
+            builder.with_root_certificates(self.root_store()?)
         };
         let mut tls =
             builder.with_client_auth_cert(vec![self.certificate.clone()], self.key.clone_key())?;
@@ -141,7 +143,7 @@
         Ok(QuicClientConfig::try_from(tls)?)
     }
 
-    fn roots(&self) -> Result<RootCertStore, CredentialsError> {
+    fn root_store(&self) -> Result<RootCertStore, CredentialsError> {
         let mut roots = RootCertStore::empty();
         roots.add(self.authority.clone())?;
         Ok(roots)
--- a/crates/fabric/src/endpoint.rs
+++ b/crates/fabric/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One process's endpoint: it accepts, dials, and tells what happens.
+//! The QUIC endpoint of a process: accepts and dials connections and reports their events.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,28 +23,32 @@
     read_frame, write_frame,
 };
 
-/// A peer that sends nothing for this long is gone: a leaving or silent host must have no new work
-/// after 3 s, and the rest of that time goes to telling the others.
+/// A connection idle for this long is closed.
+///
+/// A leaving or silent host must get no new work after 3 s; the remaining second is for notifying the
+/// other hosts.
 const IDLE_TIMEOUT: VarInt = VarInt::from_u32(2_000);
-/// Keeps an idle connection up; three may be lost before the idle timeout.
-const KEEP_ALIVE: Duration = Duration::from_millis(500);
-/// Streams that a peer may have open at once: the requests in progress between two hosts.
+/// Keep-alive interval; up to three may be lost within the idle timeout.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum concurrent streams per peer, which bounds the requests in progress between two hosts.
 const MAX_STREAMS: VarInt = VarInt::from_u32(4_096);
-/// First wait before dialling again; doubles up to [`MAX_REDIAL`].
-const MIN_REDIAL: Duration = Duration::from_millis(50);
-/// Longest wait before dialling again: a returning host is found within a second.
-const MAX_REDIAL: Duration = Duration::from_secs(1);
-/// Round trip assumed before one is measured. The library assumes 333 ms and sends a lost first packet
-/// again after three times that: a host that dials one just before it listens would wait a second.
-const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(60);
-
-/// Why an endpoint can't be made.
+/// Initial delay before redialling; doubles up to [`MAX_REDIAL_DELAY`].
+const MIN_REDIAL_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay before redialling, so that a restarted host is reconnected within a second.
+const MAX_REDIAL_DELAY: Duration = Duration::from_secs(1);
+/// Round-trip time assumed before one is measured.
+///
+/// The first packet is retransmitted after three times this value. With quinn's default of 333 ms,
+/// dialling a host just before it listens delays the connection by a second.
+const INITIAL_RTT: Duration = Duration::from_millis(60);
+
+/// An error in creating an endpoint.
 #[derive(Debug, Display, Error, From)]
 pub enum EndpointError {
     /// The address can't be bound.
     #[display("the fleet address can't be bound")]
     Bind(std::io::Error),
-    /// The credentials can't be used.
+    /// The credentials are not usable for QUIC.
     #[display("the credentials can't be used")]
     Credentials(CredentialsError),
 }
@@ -55,22 +59,22 @@
     Connection(quinn::ConnectionError),
     #[display("connection refused")]
     Connect(quinn::ConnectError),
-    #[display("bad frame")]
+    #[display("invalid frame")]
     Frame(FrameError),
-    #[display("unknown peer")]
+    #[display("the peer has no valid identity")]
     Peer(PeerError),
-    #[display("another process answers at the address")]
+    #[display("another process listens at the address")]
     #[from(skip)]
-    OtherPeer,
-    #[display("another wire version")]
+    UnexpectedPeer,
+    #[display("the peer uses another wire version")]
     #[from(skip)]
     Version,
-    #[display("message not allowed for the role")]
+    #[display("the peer's role may not send this message")]
     #[from(skip)]
     Forbidden,
 }
 
-/// Bytes of control messages, for the budget of control traffic.
+/// Counters of an endpoint's control traffic and rejected connections.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent: AtomicU64,
@@ -84,7 +88,7 @@
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Connections refused: no certificate of the fleet, another version, a message not allowed.
+    /// Connections rejected for an invalid certificate, another wire version or a forbidden message.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
@@ -96,7 +100,7 @@
 struct Shared {
     quinn: quinn::Endpoint,
     client: ClientConfig,
-    me: Incarnation,
+    incarnation: Incarnation,
     handler: Handler,
     next_link: AtomicU64,
     traffic: Arc<Traffic>,
@@ -106,10 +110,10 @@
 pub struct Endpoint {
     shared: Arc<Shared>,
     runtime: Handle,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
-/// A peer that is dialled for as long as this is kept.
+/// A handle of an address that is redialled until the handle is dropped.
 #[derive(Debug)]
 pub struct Dialed {
     task: JoinHandle<()>,
@@ -122,7 +126,7 @@
 }
 
 impl Endpoint {
-    /// Binds the address and starts to accept.
+    /// Binds the address and starts accepting connections.
     ///
     /// # Errors
     /// Returns an error when the address can't be bound or the credentials can't be used.
@@ -130,56 +134,55 @@
         runtime: &Handle,
         address: SocketAddr,
         credentials: &Credentials,
-        me: Incarnation,
+        incarnation: Incarnation,
         handler: impl Fn(Event) + Send + Sync + 'static,
     ) -> Result<Self, EndpointError> {
         let transport = Arc::new(transport());
-        let mut server = ServerConfig::with_crypto(Arc::new(credentials.server()?));
+        let mut server = ServerConfig::with_crypto(Arc::new(credentials.server_config()?));
         server.transport_config(Arc::clone(&transport));
-        let mut client = ClientConfig::new(Arc::new(credentials.client()?));
+        let mut client = ClientConfig::new(Arc::new(credentials.client_config()?));
         client.transport_config(transport);
-        let entered = runtime.enter();
+        let runtime_guard = runtime.enter();
         let quinn = quinn::Endpoint::server(server, address)?;
-        drop(entered);
+        drop(runtime_guard);
         let shared = Arc::new(Shared {
             quinn,
             client,
-            me,
+            incarnation,
             handler: Arc::new(handler),
             next_link: AtomicU64::new(0),
             traffic: Arc::default(),
         });
-        let accepting = runtime.spawn(accept(Arc::clone(&shared)));
+        let accept_task = runtime.spawn(accept_loop(Arc::clone(&shared)));
         Ok(Self {
             shared,
             runtime: runtime.clone(),
-            accepting,
+            accept_task,
         })
     }
 
-    /// The address bound.
+    /// The local address.
     ///
     /// # Errors
-    /// Returns an error when the socket is gone.
+    /// Returns an error when the socket is closed.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.shared.quinn.local_addr()
     }
 
-    /// Control traffic so far.
+    /// The endpoint's traffic counters.
     #[must_use]
     pub fn traffic(&self) -> Arc<Traffic> {
         Arc::clone(&self.shared.traffic)
     }
 
-    /// Keeps a connection to a process, dialling again whenever it is gone.
+    /// Maintains a connection to the process `expected`, redialling after each disconnection.
     #[must_use]
     pub fn dial(&self, address: SocketAddr, expected: PeerId) -> Dialed {
         let is_expected = move |peer: &PeerId| *peer == expected;
         self.dial_if(address, is_expected)
     }
 
-    /// The same, where it is not known beforehand who answers at the address: a connection is kept
-    /// with any peer that `accepts` says yes to.
+    /// Like [`dial`](Self::dial), but accepts any peer for which `accepts` returns `true`.
     #[must_use]
     pub fn dial_if(
         &self,
@@ -188,13 +191,13 @@
     ) -> Dialed {
         let task = self
             .runtime
-            .spawn(keep(Arc::clone(&self.shared), address, accepts));
+            .spawn(dial_loop(Arc::clone(&self.shared), address, accepts));
         Dialed { task }
     }
 
-    /// Closes every connection and stops to accept.
+    /// Closes every connection and stops accepting.
     pub fn close(&self) {
-        self.accepting.abort();
+        self.accept_task.abort();
         self.shared.quinn.close(0_u32.into(), b"stopping");
     }
 }
@@ -209,27 +212,27 @@
     let mut transport = TransportConfig::default();
     transport
         .max_idle_timeout(Some(IdleTimeout::from(IDLE_TIMEOUT)))
-        .keep_alive_interval(Some(KEEP_ALIVE))
-        .initial_rtt(INITIAL_ROUND_TRIP)
+        .keep_alive_interval(Some(KEEP_ALIVE_INTERVAL))
+        .initial_rtt(INITIAL_RTT)
         .max_concurrent_bidi_streams(MAX_STREAMS)
         .max_concurrent_uni_streams(0_u32.into());
     transport
 }
 
-async fn accept(shared: Arc<Shared>) {
+async fn accept_loop(shared: Arc<Shared>) {
     while let Some(incoming) = shared.quinn.accept().await {
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            if serve_incoming(&shared, incoming).await.is_err() {
+            if accept_connection(&shared, incoming).await.is_err() {
                 shared.traffic.refused.fetch_add(1, Ordering::Relaxed);
             }
         });
     }
 }
 
-async fn serve_incoming(shared: &Shared, incoming: quinn::Incoming) -> Result<(), LinkError> {
+async fn accept_connection(shared: &Shared, incoming: quinn::Incoming) -> Result<(), LinkError> {
     let connection = incoming.await?;
-    let peer = peer_of(&connection)?;
+    let peer = peer_identity(&connection)?;
     let (mut send, mut recv) = connection.accept_bi().await?;
     let hello = read_hello(&mut recv).await?;
     write_frame(&mut send, &shared.hello()).await?;
@@ -237,18 +240,18 @@
     Ok(())
 }
 
-async fn keep(
+async fn dial_loop(
     shared: Arc<Shared>,
     address: SocketAddr,
     accepts: impl Fn(&PeerId) -> bool + Send + Sync,
 ) {
-    let mut wait = MIN_REDIAL;
+    let mut delay = MIN_REDIAL_DELAY;
     loop {
         if connect(&shared, address, &accepts).await.is_ok() {
-            wait = MIN_REDIAL;
+            delay = MIN_REDIAL_DELAY;
         }
-        tokio::time::sleep(wait).await;
-        wait = (wait * 2).min(MAX_REDIAL);
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(MAX_REDIAL_DELAY);
     }
 }
 
@@ -262,9 +265,9 @@
         .quinn
         .connect_with(client, address, SERVER_NAME)?
         .await?;
-    let peer = peer_of(&connection)?;
+    let peer = peer_identity(&connection)?;
     if !accepts(&peer) {
-        return Err(LinkError::OtherPeer);
+        return Err(LinkError::UnexpectedPeer);
     }
     let (mut send, mut recv) = connection.open_bi().await?;
     write_frame(&mut send, &shared.hello()).await?;
@@ -282,7 +285,7 @@
     }
 }
 
-fn peer_of(connection: &Connection) -> Result<PeerId, PeerError> {
+fn peer_identity(connection: &Connection) -> Result<PeerId, PeerError> {
     let identity = connection.peer_identity().ok_or(PeerError::NoCertificate)?;
     let chain = identity
         .downcast::<Vec<CertificateDer<'static>>>()
@@ -373,7 +376,7 @@
     fn hello(&self) -> Hello {
         Hello {
             version: WIRE_VERSION,
-            incarnation: self.me,
+            incarnation: self.incarnation,
         }
     }
 }
--- a/crates/fabric/src/event.rs
+++ b/crates/fabric/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens on an endpoint.
+//! Events of an endpoint.
 
 use coltsfootnotch_types::Incarnation;
 use coltsfootnotch_wire::Message;
@@ -6,29 +6,31 @@
 
 use crate::{AttemptStream, LinkTx, PeerId};
 
-/// Names one connection within a process; a later connection to the same host has another.
+/// Identifies a connection within a process; each reconnection to a host gets a new id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub struct LinkId(pub u64);
 
-/// What happens on an endpoint. For one link: `Up`, then messages and streams, then `Down`.
+/// An event of an endpoint.
+///
+/// The events of a link are `Up`, then messages and streams, then `Down`.
 #[derive(Debug)]
 pub enum Event {
-    /// A connection stands.
+    /// A connection was established.
     Up {
         /// The connection.
         link: LinkId,
-        /// Who is at the other end.
+        /// The remote process.
         peer: PeerId,
-        /// The run of its process.
+        /// The incarnation of the remote process.
         incarnation: Incarnation,
-        /// Sends on it.
+        /// The sending half of the connection.
         tx: LinkTx,
     },
-    /// A control message came that the peer's role may send.
+    /// A control message was received that the peer's role may send.
     Message {
         /// The connection.
         link: LinkId,
-        /// Who sent it.
+        /// The sender.
         peer: PeerId,
         /// The message.
         message: Message,
@@ -37,21 +39,21 @@
     Stream {
         /// The connection.
         link: LinkId,
-        /// Who opened it.
+        /// The process that opened the stream.
         peer: PeerId,
         /// The stream.
         stream: AttemptStream,
     },
-    /// A peer sent what its role may not send; the connection was closed.
+    /// The peer sent a message that its role may not send; the connection is closed.
     Forbidden {
-        /// Who sent it.
+        /// The sender.
         peer: PeerId,
     },
-    /// The connection is gone.
+    /// The connection was closed or lost.
     Down {
         /// The connection.
         link: LinkId,
-        /// Who was at the other end.
+        /// The remote process.
         peer: PeerId,
     },
 }
--- a/crates/fabric/src/frames.rs
+++ b/crates/fabric/src/frames.rs
@@ -1,4 +1,4 @@
-//! Frames on a QUIC stream.
+//! Reading and writing of frames on QUIC streams.
 
 use coltsfootnotch_wire::{CodecError, MAX_FRAME_BYTES, decode, encode};
 use derive_more::{Display, Error, From};
@@ -6,24 +6,24 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Why a frame can't be read or written.
+/// An error in reading or writing a frame.
 #[derive(Debug, Display, Error, From)]
 pub enum FrameError {
-    /// The bytes are not a frame.
-    #[display("a frame is not valid")]
+    /// The frame is invalid or too large.
+    #[display("invalid frame")]
     Codec(CodecError),
-    /// The stream ended or the connection is gone.
+    /// The stream ended or the connection was lost.
     #[display("the stream can't be read")]
     Read(ReadExactError),
-    /// The stream was stopped or the connection is gone.
+    /// The stream was stopped or the connection was lost.
     #[display("the stream can't be written")]
     Write(WriteError),
 }
 
-/// Reads one frame; its size is checked before anything is buffered.
+/// Reads one frame, checking its size before buffering the body.
 ///
 /// # Errors
-/// Returns an error when the stream ends or the frame is not valid.
+/// Returns an error when the stream ends or the frame is invalid.
 pub async fn read_frame<T: DeserializeOwned>(recv: &mut RecvStream) -> Result<T, FrameError> {
     let mut prefix = [0; 4];
     recv.read_exact(&mut prefix).await?;
--- a/crates/fabric/src/keys.rs
+++ b/crates/fabric/src/keys.rs
@@ -1,4 +1,6 @@
-//! The fleet's authority and the keys it issues: made by `coltsfootnotch keys`, kept as PEM files.
+//! The fleet's certificate authority and the keys that it issues, stored as PEM files.
+//!
+//! `coltsfootnotch keys` generates them.
 
 use derive_more::{Display, Error, From};
 use rcgen::string::Ia5String;
@@ -9,24 +11,24 @@
 
 use crate::PeerId;
 
-/// Server name in every certificate: identity is the URI, which TLS itself does not compare.
+/// DNS name in every certificate, for TLS's server name check. The process is identified by the URI.
 pub(crate) const SERVER_NAME: &str = "fleet.coltsfootnotch.internal";
 
-/// Why keys can't be made.
+/// An error in generating or signing keys.
 #[derive(Debug, Display, Error, From)]
 pub enum KeysError {
-    /// The library refused.
-    #[display("the key or certificate can't be made")]
+    /// `rcgen` returned an error.
+    #[display("the key or certificate can't be generated")]
     Rcgen(rcgen::Error),
 }
 
-/// The authority of one fleet.
+/// The certificate authority of a fleet.
 pub struct Authority {
     certificate: String,
     key: KeyPair,
 }
 
-/// A certificate and its key, both as PEM.
+/// A certificate and its private key in PEM format.
 #[derive(Debug, Clone)]
 pub struct IssuedKey {
     /// The certificate.
@@ -36,10 +38,10 @@
 }
 
 impl Authority {
-    /// Makes a new authority.
+    /// Generates a new authority.
     ///
     /// # Errors
-    /// Returns an error when the library can't make the key.
+    /// Returns an error when the key or its certificate can't be generated.
     ///
     /// ```
     /// use coltsfootnotch_fabric::Authority;
@@ -58,31 +60,31 @@
         Ok(Self { certificate, key })
     }
 
-    /// Reads an authority that was kept as PEM.
+    /// Loads an authority from PEM.
     ///
     /// # Errors
-    /// Returns an error when the key can't be read.
+    /// Returns an error when the key can't be parsed.
     pub fn from_pem(certificate: String, key: &str) -> Result<Self, KeysError> {
         let key = KeyPair::from_pem(key)?;
         Ok(Self { certificate, key })
     }
 
-    /// The certificate that every process trusts, as PEM.
+    /// The certificate that every process trusts, in PEM format.
     #[must_use]
     pub fn certificate(&self) -> &str {
         &self.certificate
     }
 
-    /// The private key, as PEM.
+    /// The private key in PEM format.
     #[must_use]
     pub fn key(&self) -> String {
         self.key.serialize_pem()
     }
 
-    /// Issues the key of one process.
+    /// Issues a certificate and key for a process.
     ///
     /// # Errors
-    /// Returns an error when the library can't make or sign it.
+    /// Returns an error when the certificate can't be generated or signed.
     pub fn issue(&self, peer: &PeerId) -> Result<IssuedKey, KeysError> {
         let issuer = Issuer::from_ca_cert_pem(&self.certificate, &self.key)?;
         let key = KeyPair::generate()?;
--- a/crates/fabric/src/lib.rs
+++ b/crates/fabric/src/lib.rs
@@ -1,12 +1,12 @@
-//! Connections between the fleet's own processes, and the keys that open them.
+//! QUIC connections with mutual TLS between the fleet's processes, and the keys for them.
 //!
-//! Every process has one UDP endpoint. A connection stands only between two processes whose
-//! certificates the fleet's authority has signed; each certificate names one role and one host.
-//! A connection carries a control stream of [`Message`](coltsfootnotch_wire::Message) frames in
-//! order and one stream per attempt. What arrives is handed to one closure, as an [`Event`]; the
-//! closure is called on the runtime's threads and is expected to pass the event on.
+//! Every process has one UDP endpoint. Two processes connect only if the fleet's authority signed
+//! both certificates; each certificate contains one role and one host. A connection carries an
+//! ordered control stream of [`Message`](coltsfootnotch_wire::Message) frames and one stream per
+//! attempt. Each [`Event`] is passed to a handler, which runs on the runtime's threads and must not
+//! block.
 
-mod any_peer;
+mod accept_any;
 mod credentials;
 mod endpoint;
 mod event;
--- a/crates/fabric/src/link.rs
+++ b/crates/fabric/src/link.rs
@@ -4,7 +4,7 @@
 use quinn::{Connection, ConnectionError, RecvStream, SendStream};
 use tokio::sync::mpsc;
 
-/// A stream of one attempt, both directions.
+/// The bidirectional stream of an attempt.
 #[derive(Debug)]
 pub struct AttemptStream {
     /// Frames to the peer.
@@ -13,13 +13,13 @@
     pub recv: RecvStream,
 }
 
-/// Most control frames queued for one connection.
+/// Maximum number of control frames queued per connection, which bounds memory use.
 ///
-/// A peer that takes none for that long is as good as gone: the connection is closed, the peer is
-/// told everything anew when it is back, and the memory of this process stays bounded.
+/// The connection to a peer that reads too slowly is closed; the full state is resent when it
+/// reconnects.
 const MAX_QUEUED_FRAMES: usize = 4096;
 
-/// Sends on one connection.
+/// The sending half of a connection.
 #[derive(Debug, Clone)]
 pub struct LinkTx {
     connection: Connection,
@@ -32,10 +32,13 @@
         (Self { connection, frames }, rx)
     }
 
-    /// Queues a control message; it is dropped with the connection when that is gone or stuck.
+    /// Queues a control message.
+    ///
+    /// If the connection is closed or its queue is full, the message is dropped and the connection
+    /// closed.
     ///
     /// # Errors
-    /// Returns an error for a message that is too large for a frame.
+    /// Returns an error when the message is too large for a frame.
     pub fn send(&self, message: &Message) -> Result<(), CodecError> {
         let frame = encode(message)?;
         if self.frames.try_send(frame).is_err() {
@@ -47,7 +50,7 @@
     /// Opens a stream for an attempt.
     ///
     /// # Errors
-    /// Returns an error when the connection is gone.
+    /// Returns an error when the connection is closed.
     pub async fn open(&self) -> Result<AttemptStream, ConnectionError> {
         let (send, recv) = self.connection.open_bi().await?;
         Ok(AttemptStream { send, recv })
--- a/crates/fabric/src/peer.rs
+++ b/crates/fabric/src/peer.rs
@@ -1,4 +1,4 @@
-//! Who is at the other end of a connection, from its certificate.
+//! The identity of a process, read from its certificate.
 
 use coltsfootnotch_types::prelude::*;
 use derive_more::{Display, Error};
@@ -6,35 +6,35 @@
 use x509_parser::extensions::GeneralName;
 use x509_parser::prelude::{FromDer, X509Certificate};
 
-/// Scheme of the URI by which a certificate names its host and role.
+/// Scheme of the URI that contains the role and host in a certificate.
 pub(crate) const URI_SCHEME: &str = "coltsfootnotch://";
 
-/// A process as its certificate names it.
+/// The identity of a process, as stated in its certificate.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 #[display("{role}/{host}")]
 pub struct PeerId {
-    /// Its role.
+    /// The role of the process.
     pub role: Role,
-    /// Its host.
+    /// The host that the process runs on.
     pub host: HostName,
 }
 
-/// Why a certificate names no process of the fleet.
+/// An error in reading the identity of a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum PeerError {
-    /// The peer showed no certificate.
-    #[display("the peer showed no certificate")]
+    /// The peer presented no certificate.
+    #[display("the peer presented no certificate")]
     NoCertificate,
-    /// The certificate can't be read.
-    #[display("the certificate of the peer can't be read")]
+    /// The certificate can't be parsed.
+    #[display("the certificate of the peer can't be parsed")]
     Unreadable,
-    /// The certificate has no name of the fleet.
-    #[display("the certificate of the peer names no role and host")]
-    NoName,
+    /// The certificate contains no role and host.
+    #[display("the certificate of the peer contains no role and host")]
+    NoIdentity,
 }
 
 impl PeerId {
-    /// The URI that stands for this process in its certificate.
+    /// The URI that identifies this process in its certificate.
     ///
     /// ```
     /// use coltsfootnotch_fabric::PeerId;
@@ -48,29 +48,31 @@
         format!("{URI_SCHEME}{}/{}", self.role, self.host)
     }
 
-    /// Reads the URI of a certificate.
+    /// Parses the URI of a certificate.
     #[must_use]
     pub fn from_uri(uri: &str) -> Option<Self> {
         let (role, host) = uri.strip_prefix(URI_SCHEME)?.split_once('/')?;
         let role = [Role::Entry, Role::Sidecar, Role::Control, Role::Operator]
             .into_iter()
-            .find(|known| known.to_string() == role)?;
+            .find(|candidate| candidate.to_string() == role)?;
         let host = HostName::new(host).ok()?;
         Some(Self { role, host })
     }
 
-    /// Reads a certificate that TLS has already verified against the fleet's authority.
+    /// Reads the identity from a certificate.
+    ///
+    /// The signature is not checked: TLS has verified the certificate before.
     ///
     /// # Errors
-    /// Returns a [`PeerError`] when it can't be read or names no role and host.
+    /// Returns a [`PeerError`] when the certificate can't be parsed or contains no role and host.
     pub fn from_certificate(certificate: &CertificateDer<'_>) -> Result<Self, PeerError> {
         let (_, parsed) =
             X509Certificate::from_der(certificate).map_err(|_| PeerError::Unreadable)?;
-        let names = parsed
+        let alt_names = parsed
             .subject_alternative_name()
             .map_err(|_| PeerError::Unreadable)?
-            .ok_or(PeerError::NoName)?;
-        let uris = names
+            .ok_or(PeerError::NoIdentity)?;
+        let uris = alt_names
             .value
             .general_names
             .iter()
@@ -80,6 +82,6 @@
             });
         uris.filter_map(Self::from_uri)
             .next()
-            .ok_or(PeerError::NoName)
+            .ok_or(PeerError::NoIdentity)
     }
 }
