--- a/crates/fabric/src/lib.rs
+++ b/crates/fabric/src/lib.rs
@@ -7,6 +7,7 @@
 //! block.
 
 mod accept_any;
+mod connection;
 mod credentials;
 mod endpoint;
 mod event;
