--- a/crates/fakes/src/announcer.rs
+++ b/crates/fakes/src/announcer.rs
@@ -1,4 +1,4 @@
-//! The thread that announces an upstream to the sidecar on its host.
+//! A thread that announces an upstream to the sidecar of its host.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 
 use coltsfootnotch_wire::announce::AnnouncementBody;
 
-use crate::clock::sleep_unless;
+use crate::sleep::sleep_unless;
 
-/// Longest wait for a sidecar's answer; shorter than the usual time to live.
+/// Timeout of an announcement; shorter than the default time to live.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where and how often an upstream announces itself.
+/// Configuration of an [`Announcer`].
 #[derive(Debug, Clone, Copy)]
 pub struct AnnounceConfig {
-    /// Address on which the sidecar takes announcements.
+    /// Address on which the sidecar accepts announcements.
     pub sidecar: SocketAddr,
-    /// Time between announcements.
+    /// Interval between announcements.
     pub every: Duration,
-    /// How long each announcement holds.
+    /// Time to live of each announcement.
     pub ttl: Duration,
 }
 
 impl AnnounceConfig {
-    /// One announcement a second that holds for three, so that two may be lost.
+    /// One announcement per second with a time to live of three seconds, so that two may be lost.
     #[must_use]
     pub fn new(sidecar: SocketAddr) -> Self {
         Self {
@@ -37,7 +37,7 @@
     }
 }
 
-/// A running announcer; stops on drop.
+/// A running announcer, stopped on drop.
 pub struct Announcer {
     stopping: Arc<AtomicBool>,
     accepted: Arc<AtomicU64>,
@@ -45,28 +45,28 @@
 }
 
 impl Announcer {
-    /// Posts what `body` returns to the sidecar, at once and then at every interval.
+    /// Posts the result of `body` to the sidecar, immediately and then at every interval.
     ///
     /// # Errors
-    /// Returns the system's error when no thread can be started.
+    /// Returns an error when the thread can't be started.
     pub fn start(
         cfg: AnnounceConfig,
         mut body: impl FnMut() -> AnnouncementBody + Send + 'static,
     ) -> io::Result<Self> {
         let stopping = Arc::new(AtomicBool::new(false));
         let accepted = Arc::new(AtomicU64::new(0));
-        let (stopping2, accepted2) = (Arc::clone(&stopping), Arc::clone(&accepted));
+        let (stopping_clone, accepted_clone) = (Arc::clone(&stopping), Arc::clone(&accepted));
         let url = format!("http://{}/v1/announce", cfg.sidecar);
         let thread = thread::Builder::new()
             .name("fake-announcer".into())
             .spawn(move || {
                 let agent = agent();
-                while !stopping2.load(Ordering::SeqCst) {
-                    // A sidecar that is away hears the next announcement.
+                while !stopping_clone.load(Ordering::SeqCst) {
+                    // An unreachable sidecar gets the next announcement.
                     if post(&agent, &url, &body()) {
-                        accepted2.fetch_add(1, Ordering::SeqCst);
+                        accepted_clone.fetch_add(1, Ordering::SeqCst);
                     }
-                    sleep_unless(cfg.every, || stopping2.load(Ordering::SeqCst));
+                    sleep_unless(cfg.every, || stopping_clone.load(Ordering::SeqCst));
                 }
             })?;
         Ok(Self {
@@ -76,17 +76,17 @@
         })
     }
 
-    /// Number of announcements that the sidecar has accepted.
+    /// Number of announcements that the sidecar accepted.
     #[must_use]
     pub fn accepted(&self) -> u64 {
         self.accepted.load(Ordering::SeqCst)
     }
 
-    /// Ends the announcements without a last one; the sidecar forgets the upstream by its expiry.
+    /// Stops without a final announcement; the sidecar removes the upstream when it expires.
     pub fn stop(&mut self) {
         self.stopping.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread has been printed already.
+            // A panic of the thread was already printed by the panic hook.
             let _ = thread.join();
         }
     }
--- a/crates/fakes/src/attempts.rs
+++ b/crates/fakes/src/attempts.rs
@@ -1,52 +1,52 @@
-//! Attempts that an engine runs or has run, for cancelling and resuming by their id.
+//! Current and past attempts of an engine, for cancelling and resuming by id.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 use tokio::sync::Notify;
 
-/// Ended attempts that an engine remembers for a resume.
-const REMEMBERED: usize = 4096;
+/// Maximum number of attempts whose prompts are kept for resuming.
+const MAX_RECORDED: usize = 4096;
 
 /// The attempts of one engine.
 #[derive(Default)]
 pub(crate) struct Attempts {
     running: HashMap<String, Arc<Notify>>,
-    known: HashMap<String, u64>,
-    order: VecDeque<String>,
+    prompts: HashMap<String, u64>,
+    insertion_order: VecDeque<String>,
 }
 
 impl Attempts {
-    /// Registers an attempt at `prompt_id`; returns its cancellation and whether the engine has
-    /// the attempt's cache.
-    pub(crate) fn begin(&mut self, attempt: &str, prompt_id: u64) -> (Arc<Notify>, bool) {
+    /// Registers a running attempt; returns its cancellation signal and whether the engine has the
+    /// attempt's cache.
+    pub(crate) fn start(&mut self, attempt: &str, prompt_id: u64) -> (Arc<Notify>, bool) {
         let cancel = Arc::new(Notify::new());
         self.running.insert(attempt.to_owned(), Arc::clone(&cancel));
-        let before = self.remember(attempt, prompt_id);
-        (cancel, before == Some(prompt_id))
+        let previous = self.record(attempt, prompt_id);
+        (cancel, previous == Some(prompt_id))
     }
 
-    /// Remembers the prompt of an attempt; returns the one remembered before.
-    pub(crate) fn remember(&mut self, attempt: &str, prompt_id: u64) -> Option<u64> {
-        let before = self.known.insert(attempt.to_owned(), prompt_id);
-        if before.is_none() {
-            self.order.push_back(attempt.to_owned());
+    /// Records the prompt of an attempt; returns the previously recorded one.
+    pub(crate) fn record(&mut self, attempt: &str, prompt_id: u64) -> Option<u64> {
+        let previous = self.prompts.insert(attempt.to_owned(), prompt_id);
+        if previous.is_none() {
+            self.insertion_order.push_back(attempt.to_owned());
         }
-        if self.order.len() > REMEMBERED
-            && let Some(oldest) = self.order.pop_front()
+        if self.insertion_order.len() > MAX_RECORDED
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.known.remove(&oldest);
+            self.prompts.remove(&oldest);
         }
-        before
+        previous
     }
 
-    /// The prompt of an attempt that the engine remembers.
-    pub(crate) fn known(&self, attempt: &str) -> Option<u64> {
-        self.known.get(attempt).copied()
+    /// The recorded prompt of an attempt.
+    pub(crate) fn prompt_id(&self, attempt: &str) -> Option<u64> {
+        self.prompts.get(attempt).copied()
     }
 
-    /// Forgets the running attempt, unless a resumed run of it has taken its place.
-    pub(crate) fn end(&mut self, attempt: &str, cancel: &Arc<Notify>) {
+    /// Removes the running attempt, unless a resumed run has replaced it.
+    pub(crate) fn finish(&mut self, attempt: &str, cancel: &Arc<Notify>) {
         let current = self.running.get(attempt);
         if current.is_some_and(|current| Arc::ptr_eq(current, cancel)) {
             self.running.remove(attempt);
@@ -62,7 +62,7 @@
         true
     }
 
-    /// Forgets everything, as a crash does.
+    /// Removes all attempts, as a crash does.
     pub(crate) fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/fakes/src/chat.rs
+++ b/crates/fakes/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions as JSON: the usual request, answer and chunk.
+//! JSON types of the chat completions API.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/fakes/src/completion.rs
+++ b/crates/fakes/src/completion.rs
@@ -1,4 +1,4 @@
-//! Chat completions of a stand-in engine: whole or streamed, resumed, cancelled, crashed.
+//! Chat completions of a fake engine: complete or streamed, with resuming, cancelling and crashes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,20 +15,20 @@
 use crate::http::{DropConnection, Reply, Req, error, events, header, json, read_body};
 use crate::server::Crasher;
 
-/// Tokens of an answer whose request states no length.
+/// Default of `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 16;
-/// Longest answer, in tokens.
+/// Upper bound of `max_tokens`.
 const MAX_TOKENS: u32 = 32_768;
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Ending {
-    Whole,
+enum Outcome {
+    Completed,
     Cancelled,
     Abandoned,
 }
 
-/// One request in the engine.
+/// A request in the engine.
 struct Job {
     engine: Arc<Engine>,
     crasher: Crasher,
@@ -36,7 +36,7 @@
     model: String,
     prompt: String,
     prompt_id: u64,
-    /// Token at which the answer begins; more than zero for a resumed stream.
+    /// Index of the first token to send; greater than zero for a resumed stream.
     first: u32,
     max_tokens: u32,
 }
@@ -51,27 +51,27 @@
         }
     }
 
-    fn finish_reason(ending: Ending) -> &'static str {
-        match ending {
-            Ending::Whole => "length",
-            Ending::Cancelled | Ending::Abandoned => "cancelled",
+    fn finish_reason(outcome: Outcome) -> &'static str {
+        match outcome {
+            Outcome::Completed => "length",
+            Outcome::Cancelled | Outcome::Abandoned => "cancelled",
         }
     }
 }
 
-/// Where the tokens of a job go.
+/// The destination of a job's tokens.
 enum Output {
-    /// Into one answer, sent at the end.
-    Whole(String),
-    /// To the caller, one event a token.
+    /// A single response, sent at the end.
+    Complete(String),
+    /// A stream with one event per token.
     Events(mpsc::Sender<Bytes>),
 }
 
 impl Output {
-    /// Takes a token; returns whether the caller still wants more.
-    async fn put(&mut self, job: &Job, token: String) -> bool {
+    /// Adds a token; returns whether the caller is still connected.
+    async fn push(&mut self, job: &Job, token: String) -> bool {
         let tx = match self {
-            Self::Whole(content) => {
+            Self::Complete(content) => {
                 content.push_str(&token);
                 return true;
             }
@@ -88,28 +88,28 @@
     }
 }
 
-/// Counts how a job ended, also when its connection goes away and the job is dropped midway.
-struct Running {
+/// Counts the outcome of a run on drop, also when the job is dropped on disconnection.
+struct RunGuard {
     engine: Arc<Engine>,
     attempt: String,
     cancel: Arc<Notify>,
-    ending: Ending,
+    outcome: Outcome,
 }
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         let mut state = self.engine.lock();
-        state.attempts.end(&self.attempt, &self.cancel);
-        match self.ending {
-            Ending::Whole => state.stats.finished += 1,
-            Ending::Cancelled => state.stats.cancelled += 1,
-            Ending::Abandoned => state.stats.abandoned += 1,
+        state.attempts.finish(&self.attempt, &self.cancel);
+        match self.outcome {
+            Outcome::Completed => state.stats.finished += 1,
+            Outcome::Cancelled => state.stats.cancelled += 1,
+            Outcome::Abandoned => state.stats.abandoned += 1,
         }
     }
 }
 
-/// Sleeps, but not at all for no time: the timer's least sleep is a millisecond.
-async fn pause(time: Duration) {
+/// Sleeps, but only yields for zero, since the timer sleeps for at least a millisecond.
+async fn sleep_or_yield(time: Duration) {
     if time.is_zero() {
         tokio::task::yield_now().await;
     } else {
@@ -117,15 +117,15 @@
     }
 }
 
-/// Answers a chat completion.
-pub(crate) async fn answer(
+/// Handles a chat completion request.
+pub(crate) async fn handle_completion(
     engine: Arc<Engine>,
     crasher: Crasher,
     req: Req,
 ) -> Result<Reply, DropConnection> {
     let attempt = match header(&req, "x-attempt-id") {
         Some(attempt) => attempt.to_owned(),
-        None => engine.unnamed_attempt(),
+        None => engine.next_attempt_id(),
     };
     let first = header(&req, "x-resume-from").map(str::parse::<u32>);
     let body = match read_body(req.into_body()).await {
@@ -168,17 +168,17 @@
             .min(MAX_TOKENS),
     };
     if chat.stream {
-        Ok(streamed(job))
+        Ok(stream_reply(job))
     } else {
-        Ok(whole(&job).await)
+        Ok(complete(&job).await)
     }
 }
 
-async fn whole(job: &Job) -> Reply {
-    let mut output = Output::Whole(String::new());
-    let ending = run(job, &mut output).await;
+async fn complete(job: &Job) -> Reply {
+    let mut output = Output::Complete(String::new());
+    let outcome = run(job, &mut output).await;
     let content = match output {
-        Output::Whole(content) => content,
+        Output::Complete(content) => content,
         Output::Events(_) => String::new(),
     };
     let message = Message {
@@ -187,7 +187,7 @@
     };
     let choice = Choice {
         message: Some(message),
-        finish_reason: Some(Job::finish_reason(ending)),
+        finish_reason: Some(Job::finish_reason(outcome)),
         ..Choice::default()
     };
     let usage = Some(job.usage());
@@ -197,28 +197,28 @@
     )
 }
 
-fn streamed(job: Job) -> Reply {
+fn stream_reply(job: Job) -> Reply {
     let (tx, reply) = events();
     tokio::spawn(async move {
-        let gone = tx.clone();
+        let caller = tx.clone();
         tokio::select! {
-            // The caller went away, or the engine crashed: dropping the run frees its slot.
-            () = gone.closed() => {}
-            () = stream(&job, tx) => {}
+            // The caller disconnected or the engine crashed: dropping the run frees its slot.
+            () = caller.closed() => {}
+            () = send_stream(&job, tx) => {}
         }
     });
     reply
 }
 
-async fn stream(job: &Job, tx: mpsc::Sender<Bytes>) {
+async fn send_stream(job: &Job, tx: mpsc::Sender<Bytes>) {
     let mut output = Output::Events(tx.clone());
-    let ending = run(job, &mut output).await;
+    let outcome = run(job, &mut output).await;
     let last = Choice {
         delta: Some(Delta::default()),
-        finish_reason: Some(Job::finish_reason(ending)),
+        finish_reason: Some(Job::finish_reason(outcome)),
         ..Choice::default()
     };
-    // A caller that went away has no use for the end of the stream.
+    // Fails only if the caller has disconnected.
     let _ = tx.send(event(job, last, Some(job.usage()))).await;
     let _ = tx.send(Bytes::from_static(b"data: [DONE]\n\n")).await;
 }
@@ -244,66 +244,66 @@
     format!("data: {json}\n\n").into()
 }
 
-/// Runs a job through the batch until it ends or is cancelled.
-async fn run(job: &Job, output: &mut Output) -> Ending {
-    let (cancel, known) = job
+/// Runs a job until it is finished or cancelled.
+async fn run(job: &Job, output: &mut Output) -> Outcome {
+    let (cancel, has_cache) = job
         .engine
         .lock()
         .attempts
-        .begin(&job.attempt, job.prompt_id);
-    let mut running = Running {
+        .start(&job.attempt, job.prompt_id);
+    let mut guard = RunGuard {
         engine: Arc::clone(&job.engine),
         attempt: job.attempt.clone(),
         cancel: Arc::clone(&cancel),
-        ending: Ending::Abandoned,
+        outcome: Outcome::Abandoned,
     };
-    running.ending = until_cancelled(&cancel, batch(job, known, output)).await;
-    running.ending
+    guard.outcome = until_cancelled(&cancel, run_in_batch(job, has_cache, output)).await;
+    guard.outcome
 }
 
-async fn until_cancelled(cancel: &Notify, batch: impl Future<Output = Ending>) -> Ending {
+async fn until_cancelled(cancel: &Notify, run: impl Future<Output = Outcome>) -> Outcome {
     tokio::select! {
-        () = cancel.notified() => Ending::Cancelled,
-        ending = batch => ending,
+        () = cancel.notified() => Outcome::Cancelled,
+        outcome = run => outcome,
     }
 }
 
-async fn batch(job: &Job, known: bool, output: &mut Output) -> Ending {
+async fn run_in_batch(job: &Job, has_cache: bool, output: &mut Output) -> Outcome {
     let engine = &job.engine;
     let arrived = Instant::now();
     let _slot = engine.slots.acquire().await;
-    let cached = note_start(job, known, arrived.elapsed());
+    let cached = record_start(job, has_cache, arrived.elapsed());
     if job.prompt.contains(POISON_MARKER) {
         engine.crash(&job.crasher, engine.cfg.down_after_crash);
-        // The crash drops the connection, and this job with it.
+        // The crash drops the connection and with it this job.
         std::future::pending::<()>().await;
     }
     let size = engine.slots.size();
     let occupancy = engine.slots.occupancy();
     let tokens = prompt_tokens(&job.prompt);
-    sleep(engine.pace().prefill(tokens, cached, occupancy, size)).await;
+    sleep(engine.latency().prefill(tokens, cached, occupancy, size)).await;
     for index in job.first..job.max_tokens {
         if index > job.first {
             let occupancy = engine.slots.occupancy();
-            pause(engine.pace().between(occupancy, size)).await;
+            sleep_or_yield(engine.latency().between_tokens(occupancy, size)).await;
         }
         engine.lock().stats.tokens += 1;
-        if !output.put(job, token_at(job.prompt_id, index)).await {
-            return Ending::Abandoned;
+        if !output.push(job, token_at(job.prompt_id, index)).await {
+            return Outcome::Abandoned;
         }
     }
-    Ending::Whole
+    Outcome::Completed
 }
 
-/// Counts the start of a job; returns whether its prompt need not be computed.
-fn note_start(job: &Job, known: bool, waited: Duration) -> bool {
+/// Records the start of a job; returns whether its prompt is cached.
+fn record_start(job: &Job, has_cache: bool, waited: Duration) -> bool {
     let waiting = job.engine.slots.occupancy().waiting;
     let mut state = job.engine.lock();
     state.stats.started += 1;
     state.stats.waited += waited;
     state.stats.most_waiting = state.stats.most_waiting.max(waiting);
     *state.runs.entry(job.prompt_id).or_default() += 1;
-    let resumed = known && job.first > 0;
+    let resumed = has_cache && job.first > 0;
     state.stats.resumed += u64::from(job.first > 0);
     let cached = state.cache.touch(&prefix_digest(&job.prompt)) || resumed;
     state.stats.cache_hits += u64::from(cached);
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in model engine: batches continuously, caches prefixes, knows no priorities.
+//! A fake model engine with continuous batching, a prefix cache and first-come, first-served order.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -16,14 +16,14 @@
 use crate::attempts::Attempts;
 use crate::completion;
 use crate::engine_config::{EngineConfig, EngineStats};
+use crate::engine_orders;
 use crate::http::{DropConnection, Reply, Req, empty, error};
-use crate::orders;
-use crate::pace::Pace;
+use crate::latency::Latency;
 use crate::prefix_cache::PrefixCache;
 use crate::server::{Crasher, Server};
 use crate::slots::{Occupancy, Slots};
 
-/// Load samples kept for late reports.
+/// Load samples kept for delayed reports.
 const LOAD_SAMPLES: usize = 64;
 
 pub(crate) struct State {
@@ -33,16 +33,16 @@
     pub(crate) models: Vec<String>,
     pub(crate) role: Option<String>,
     pub(crate) fence: u64,
-    /// How often each prompt entered the batch; kept whole, since a run is bounded by its caller.
+    /// How often each prompt entered the batch. Unbounded: fakes serve only tests and load runs.
     pub(crate) runs: HashMap<u64, u32>,
     slowdown: f64,
     leaving: bool,
-    unnamed: u64,
-    load: VecDeque<(Instant, Occupancy)>,
+    unnamed_attempts: u64,
+    load_samples: VecDeque<(Instant, Occupancy)>,
     rng: StdRng,
 }
 
-/// What the handlers, the announcer and the handle of one engine share.
+/// State shared by the handlers, the announcer and the handle of an engine.
 pub(crate) struct Engine {
     pub(crate) cfg: EngineConfig,
     pub(crate) slots: Slots,
@@ -62,8 +62,8 @@
             runs: HashMap::new(),
             slowdown: 1.0,
             leaving: false,
-            unnamed: 0,
-            load: VecDeque::new(),
+            unnamed_attempts: 0,
+            load_samples: VecDeque::new(),
             rng: StdRng::seed_from_u64(cfg.seed),
         };
         Self {
@@ -78,16 +78,16 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An id for a request that came without one.
-    pub(crate) fn unnamed_attempt(&self) -> String {
+    /// Generates an id for a request without one.
+    pub(crate) fn next_attempt_id(&self) -> String {
         let mut state = self.lock();
-        state.unnamed += 1;
-        format!("unnamed-{}", state.unnamed)
+        state.unnamed_attempts += 1;
+        format!("unnamed-{}", state.unnamed_attempts)
     }
 
-    pub(crate) fn pace(&self) -> Pace {
+    pub(crate) fn latency(&self) -> Latency {
         let slowdown = self.lock().slowdown;
-        Pace {
+        Latency {
             first_token: self.cfg.first_token.mul_f64(slowdown),
             per_prompt_token: self.cfg.per_prompt_token.mul_f64(slowdown),
             token: self.cfg.token.mul_f64(slowdown),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Loses what a crash loses and takes the server down.
+    /// Clears the state that a crash loses and takes the server down.
     pub(crate) fn crash(&self, crasher: &Crasher, down: Duration) {
         let mut state = self.lock();
         state.stats.crashes += 1;
@@ -117,16 +117,20 @@
         }
     }
 
-    /// The newest sample that is old enough to be reported.
+    /// Returns the newest sample that is at least `load_lag` old.
     fn load_report(&self, state: &mut State) -> LoadReport {
         state
-            .load
+            .load_samples
             .push_back((Instant::now(), self.slots.occupancy()));
-        if state.load.len() > LOAD_SAMPLES {
-            state.load.pop_front();
+        if state.load_samples.len() > LOAD_SAMPLES {
+            state.load_samples.pop_front();
         }
-        let old_enough = |at: &Instant| at.elapsed() >= self.cfg.load_lag;
-        let sample = state.load.iter().rev().find(|(at, _)| old_enough(at));
+        let is_reportable = |at: &Instant| at.elapsed() >= self.cfg.load_lag;
+        let sample = state
+            .load_samples
+            .iter()
+            .rev()
+            .find(|(at, _)| is_reportable(at));
         let Some((at, occupancy)) = sample else {
             return LoadReport::default();
         };
@@ -158,7 +162,7 @@
     }
 }
 
-/// A running stand-in engine; stops on drop.
+/// A running fake engine, stopped on drop.
 pub struct EngineHandle {
     engine: Arc<Engine>,
     server: Server,
@@ -169,7 +173,7 @@
     /// Starts an engine on a free loopback port.
     ///
     /// # Errors
-    /// Returns the system's error when no port or thread is to be had.
+    /// Returns an error when no port or thread is available.
     ///
     /// ```
     /// use coltsfootnotch_fakes::{EngineConfig, EngineHandle};
@@ -181,14 +185,14 @@
     pub fn start(cfg: EngineConfig) -> io::Result<Self> {
         let announce = cfg.announce;
         let engine = Arc::new(Engine::new(cfg));
-        let engine2 = Arc::clone(&engine);
+        let engine_clone = Arc::clone(&engine);
         let server = Server::start("fake-engine", |crasher| {
-            move |req| route(Arc::clone(&engine2), crasher.clone(), req)
+            move |req| route(Arc::clone(&engine_clone), crasher.clone(), req)
         })?;
         let address = server.address();
-        let engine2 = Arc::clone(&engine);
+        let engine_clone = Arc::clone(&engine);
         let announcer = announce
-            .map(|cfg| Announcer::start(cfg, move || engine2.announcement(address, cfg.ttl)))
+            .map(|cfg| Announcer::start(cfg, move || engine_clone.announcement(address, cfg.ttl)))
             .transpose()?;
         Ok(Self {
             engine,
@@ -197,49 +201,49 @@
         })
     }
 
-    /// Address that takes requests.
+    /// Address on which the engine serves requests.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Name of the upstream.
+    /// The name of the upstream.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.engine.cfg.name
     }
 
-    /// How the engine was made.
+    /// The configuration of the engine.
     #[must_use]
     pub fn config(&self) -> &EngineConfig {
         &self.engine.cfg
     }
 
-    /// What the engine has done so far.
+    /// Counters since the engine started.
     #[must_use]
     pub fn stats(&self) -> EngineStats {
         self.engine.stats()
     }
 
-    /// How often a request with this prompt entered the batch.
+    /// Number of times that a request with this prompt entered the batch.
     #[must_use]
     pub fn runs(&self, prompt: &str) -> u32 {
         let id = prompt_id(prompt);
         self.engine.lock().runs.get(&id).copied().unwrap_or(0)
     }
 
-    /// Announcements that the sidecar has accepted.
+    /// Number of announcements that the sidecar accepted.
     #[must_use]
     pub fn announced(&self) -> u64 {
         self.announcer.as_ref().map_or(0, Announcer::accepted)
     }
 
-    /// Makes the engine work `factor` times as long on everything.
+    /// Multiplies all latencies of the engine by `factor`.
     pub fn set_slowdown(&self, factor: f64) {
         self.engine.lock().slowdown = factor;
     }
 
-    /// Announces from now on that the engine is leaving, or that it stays after all.
+    /// Sets whether announcements say that the engine is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         self.engine.lock().leaving = leaving;
     }
@@ -249,7 +253,7 @@
         self.engine.crash(&self.server.crasher(), down);
     }
 
-    /// Ends the announcements and the server, and joins their threads.
+    /// Stops the announcer and the server and joins their threads.
     pub fn stop(&mut self) {
         if let Some(announcer) = &mut self.announcer {
             announcer.stop();
@@ -261,11 +265,13 @@
 async fn route(engine: Arc<Engine>, crasher: Crasher, req: Req) -> Result<Reply, DropConnection> {
     let path = req.uri().path().to_owned();
     match (req.method(), path.as_str()) {
-        (&Method::POST, "/v1/chat/completions") => completion::answer(engine, crasher, req).await,
-        (&Method::POST, "/v1/orders") => Ok(orders::answer(&engine, req).await),
+        (&Method::POST, "/v1/chat/completions") => {
+            completion::handle_completion(engine, crasher, req).await
+        }
+        (&Method::POST, "/v1/orders") => Ok(engine_orders::handle_order(&engine, req).await),
         (method, path) if path.starts_with("/v1/attempts/") => {
             let method = method.clone();
-            Ok(orders::attempt(&engine, &method, path, req).await)
+            Ok(engine_orders::handle_attempt(&engine, &method, path, req).await)
         }
         (&Method::GET, "/healthz") => Ok(empty(StatusCode::OK)),
         _ => Ok(error(StatusCode::NOT_FOUND, "no such path")),
--- a/crates/fakes/src/engine_config.rs
+++ b/crates/fakes/src/engine_config.rs
@@ -1,4 +1,4 @@
-//! How a stand-in engine is made, and what it counts.
+//! Configuration and counters of a fake engine.
 
 use std::time::Duration;
 
@@ -6,47 +6,47 @@
 
 use crate::announcer::AnnounceConfig;
 
-/// How a stand-in engine is made.
+/// Configuration of a fake engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
     /// Name of the upstream, unique in the fleet.
     pub name: String,
-    /// Model that it serves.
+    /// Model that the engine serves.
     pub pool: String,
     /// Models and adapters loaded at the start; requests for others are refused with 404.
     pub models: Vec<String>,
-    /// Requests in the batch at a time.
+    /// Maximum number of requests in the batch.
     pub slots: u32,
-    /// Time from entering the batch to the first token, without the prompt's own cost.
+    /// Time from entering the batch to the first token, excluding prefill.
     pub first_token: Duration,
-    /// Further time for each prompt token that is not in the prefix cache.
+    /// Prefill time per prompt token that is not in the prefix cache.
     pub per_prompt_token: Duration,
     /// Time between tokens.
     pub token: Duration,
-    /// How much slower the batch gets for each request that waits inside, per slot.
+    /// Relative slowdown of the batch per request that waits in the engine, divided by the slots.
     pub overfull_slowdown: f64,
-    /// Prefixes that the cache holds.
+    /// Capacity of the prefix cache, in prefixes.
     pub prefix_capacity: usize,
-    /// What the engine can do; orders and resumes follow it.
+    /// Capabilities that the engine announces and implements.
     pub capabilities: Capabilities,
-    /// Time that an order to load a model takes.
+    /// Duration of an order to load a model.
     pub model_load: Duration,
     /// How long the port stays closed after a crash.
     pub down_after_crash: Duration,
-    /// Least age of the load that is reported.
+    /// Minimum age of a reported load.
     pub load_lag: Duration,
-    /// Least age of the cache events that are published.
+    /// Minimum age of published cache events.
     pub cache_event_lag: Duration,
     /// Probability that a cache event is lost.
     pub cache_event_loss: f64,
-    /// Seed of the losses.
+    /// Seed for the loss of cache events.
     pub seed: u64,
-    /// Where the engine announces itself, if it does.
+    /// How the engine announces itself; `None` for no announcements.
     pub announce: Option<AnnounceConfig>,
 }
 
 impl EngineConfig {
-    /// A small fast engine: 8 slots, 5 ms to the first token, 2 ms between tokens.
+    /// A small and fast engine: 8 slots, 5 ms to the first token, 2 ms between tokens.
     #[must_use]
     pub fn new(name: impl Into<String>, pool: impl Into<String>) -> Self {
         let pool = pool.into();
@@ -77,30 +77,30 @@
     }
 }
 
-/// What a stand-in engine has done since it started.
+/// Counters of a fake engine since it started.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct EngineStats {
-    /// Slots of the batch.
+    /// Number of slots in the batch.
     pub slots: u32,
-    /// Requests in the batch now.
+    /// Requests currently in the batch.
     pub running: u32,
-    /// Requests waiting inside the engine now.
+    /// Requests currently waiting in the engine.
     pub waiting: u32,
-    /// Most requests that ever waited inside.
+    /// Maximum number of requests that waited at the same time.
     pub most_waiting: u32,
-    /// Time that requests waited inside for a slot, summed over the requests.
+    /// Time waited for a slot, summed over all requests.
     pub waited: Duration,
-    /// Slot time in use, summed over the slots.
+    /// Time in use, summed over all slots.
     pub busy: Duration,
     /// Time since the engine started.
     pub up: Duration,
     /// Requests that entered the batch.
     pub started: u64,
-    /// Requests answered whole.
+    /// Completed requests.
     pub finished: u64,
-    /// Requests ended by a cancel.
+    /// Cancelled requests.
     pub cancelled: u64,
-    /// Requests whose caller went away or that a crash ended.
+    /// Requests whose caller disconnected or that a crash aborted.
     pub abandoned: u64,
     /// Requests that resumed a stream.
     pub resumed: u64,
@@ -110,8 +110,8 @@
     pub tokens: u64,
     /// Crashes.
     pub crashes: u64,
-    /// Orders obeyed.
+    /// Orders applied.
     pub orders: u64,
-    /// Orders refused for an old fencing number.
+    /// Orders refused for a stale fencing number.
     pub orders_refused: u64,
 }
--- a/crates/fakes/src/orders.rs
+++ b/crates/fakes/src/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to a stand-in engine, and what it does with attempts by their id.
+//! Handlers of a fake engine for orders and for attempts by id.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 use crate::engine::{Engine, State};
 use crate::http::{Reply, Req, empty, error, json, read_body};
 
-/// An order, as it is posted.
+/// The body of a posted order.
 #[derive(Debug, Deserialize)]
 struct OrderBody {
-    /// Fencing number of whoever gives the order.
+    /// Fencing number of the issuer.
     fence: u64,
     #[serde(flatten)]
     order: Order,
@@ -23,14 +23,14 @@
 enum Order {
     /// Load a model, an adapter or a version.
     Load { name: String },
-    /// Unload what was loaded.
+    /// Unload a model, an adapter or a version.
     Unload { name: String },
     /// Change role, such as from `decode` to `prefill`.
     SetRole { role: String },
 }
 
 #[derive(Serialize)]
-struct Obeyed<'a> {
+struct OrderResponse<'a> {
     fence: u64,
     models: &'a [String],
     role: Option<&'a str>,
@@ -41,8 +41,8 @@
     prompt_id: u64,
 }
 
-/// Obeys or refuses an order.
-pub(crate) async fn answer(engine: &Arc<Engine>, req: Req) -> Reply {
+/// Applies or refuses an order.
+pub(crate) async fn handle_order(engine: &Arc<Engine>, req: Req) -> Reply {
     let body = match read_body(req.into_body()).await {
         Ok(body) => body,
         Err(reply) => return reply,
@@ -50,7 +50,7 @@
     let Ok(body) = serde_json::from_slice::<OrderBody>(&body) else {
         return error(StatusCode::BAD_REQUEST, "the order is not valid JSON");
     };
-    if !admit_fence(
+    if !check_fence(
         &mut engine.lock(),
         body.fence,
         engine.cfg.capabilities.fenced,
@@ -61,17 +61,17 @@
         sleep(engine.cfg.model_load).await;
     }
     let mut state = engine.lock();
-    obey(&mut state, body.order);
-    let obeyed = Obeyed {
+    apply(&mut state, body.order);
+    let response = OrderResponse {
         fence: body.fence,
         models: &state.models,
         role: state.role.as_deref(),
     };
-    json(StatusCode::OK, &obeyed)
+    json(StatusCode::OK, &response)
 }
 
-/// Whether an order with this number is obeyed; an engine that isn't fenced obeys every order.
-fn admit_fence(state: &mut State, fence: u64, fenced: bool) -> bool {
+/// Checks the fencing number of an order; an engine without fencing accepts every order.
+fn check_fence(state: &mut State, fence: u64, fenced: bool) -> bool {
     if fenced && fence < state.fence {
         state.stats.orders_refused += 1;
         return false;
@@ -80,7 +80,7 @@
     true
 }
 
-fn obey(state: &mut State, order: Order) {
+fn apply(state: &mut State, order: Order) {
     state.stats.orders += 1;
     match order {
         Order::Load { name } => {
@@ -94,7 +94,12 @@
 }
 
 /// Cancels an attempt, or exports or imports its cache.
-pub(crate) async fn attempt(engine: &Arc<Engine>, method: &Method, path: &str, req: Req) -> Reply {
+pub(crate) async fn handle_attempt(
+    engine: &Arc<Engine>,
+    method: &Method,
+    path: &str,
+    req: Req,
+) -> Reply {
     let rest = path.trim_start_matches("/v1/attempts/");
     let capabilities = engine.cfg.capabilities;
     match (method, rest.strip_suffix("/kv")) {
@@ -114,7 +119,7 @@
 }
 
 fn export(engine: &Engine, id: &str) -> Reply {
-    match engine.lock().attempts.known(id) {
+    match engine.lock().attempts.prompt_id(id) {
         Some(prompt_id) => json(StatusCode::OK, &CacheExport { prompt_id }),
         None => error(StatusCode::NOT_FOUND, "no such attempt is known"),
     }
@@ -128,6 +133,6 @@
     let Ok(export) = serde_json::from_slice::<CacheExport>(&body) else {
         return error(StatusCode::BAD_REQUEST, "the cache is not valid JSON");
     };
-    engine.lock().attempts.remember(id, export.prompt_id);
+    engine.lock().attempts.record(id, export.prompt_id);
     empty(StatusCode::NO_CONTENT)
 }
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as the stand-ins see them.
+//! HTTP requests and responses of the fakes.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -12,20 +12,20 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-/// Largest body that a stand-in reads, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Events between the task that makes a stream and its connection; a slow reader stops the task.
+/// Capacity of the channel between a stream's task and its connection, which provides backpressure.
 const STREAM_BUFFER: usize = 16;
 
 pub(crate) type Req = Request<Incoming>;
 pub(crate) type Reply = Response<Either<Full<Bytes>, EventBody>>;
 
-/// Ends the connection without an answer, as a crash or a cut cable does.
+/// Closes the connection without a response, as a crash or network failure does.
 #[derive(Debug, Display, Error)]
-#[display("the stand-in drops the connection")]
+#[display("the fake drops the connection")]
 pub(crate) struct DropConnection;
 
-/// A body of server-sent events, written as they come.
+/// A streamed body of server-sent events.
 pub(crate) struct EventBody(mpsc::Receiver<Bytes>);
 
 impl Body for EventBody {
@@ -50,11 +50,11 @@
 #[derive(Serialize)]
 struct ErrorDetail<'a> {
     message: &'a str,
-    /// Tells an upstream's own error from one of the fleet.
+    /// Distinguishes errors of an upstream from errors of the fleet.
     source: &'static str,
 }
 
-/// An answer with `value` as JSON.
+/// A response with `value` as JSON.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Reply {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut reply = Response::new(Either::Left(Full::new(body.into())));
@@ -64,14 +64,14 @@
     reply
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub(crate) fn empty(status: StatusCode) -> Reply {
     let mut reply = Response::new(Either::Left(Full::default()));
     *reply.status_mut() = status;
     reply
 }
 
-/// An error answer.
+/// An error response.
 pub(crate) fn error(status: StatusCode, message: &str) -> Reply {
     let error = ErrorDetail {
         message,
@@ -80,7 +80,7 @@
     json(status, &ErrorBody { error })
 }
 
-/// An answer whose events are sent into the returned channel.
+/// A response that streams the events sent into the returned channel.
 pub(crate) fn events() -> (mpsc::Sender<Bytes>, Reply) {
     let (tx, rx) = mpsc::channel(STREAM_BUFFER);
     let mut reply = Response::new(Either::Right(EventBody(rx)));
@@ -89,7 +89,7 @@
     (tx, reply)
 }
 
-/// Reads a body, or says why it can't be read.
+/// Reads a body, or returns an error response.
 pub(crate) async fn read_body(body: Incoming) -> Result<Bytes, Reply> {
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(body.to_bytes()),
@@ -100,7 +100,7 @@
     }
 }
 
-/// A header's text, if it is there.
+/// The value of a header, if present and valid text.
 pub(crate) fn header<'a>(req: &'a Req, name: &str) -> Option<&'a str> {
     req.headers().get(name)?.to_str().ok()
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,32 +1,31 @@
-//! Small stand-ins for model engines and order services, for `demo`, `load` and tests.
+//! Fake model engines and order services for `demo`, `load` and tests.
 //!
-//! Each stand-in listens on a loopback port, announces itself to a sidecar when it is told to, and
-//! can be made to fail in the ways that real upstreams do: crash on a marked request, answer
-//! slowly, lose an answer after the work was done, report its load late. What it did is counted, so
-//! that a test can compare what callers were told with what really ran.
+//! A fake listens on a loopback port, optionally announces itself to a sidecar, and can simulate the
+//! failures of real upstreams: crashing on a marked request, responding slowly, losing a response
+//! after the work was done, reporting its load late. Counters of the work done let tests compare the
+//! responses that callers got with the requests that ran.
 //!
-//! Every thread belongs to a handle and has ended when `stop` returns.
+//! Every thread belongs to a handle and is joined by `stop`.
 //!
-//! The stand-ins are built on `hyper`: a crash has to drop connections in the middle of an answer,
-//! and `tiny_http` keeps its sockets to itself. Its pool can also leave a new connection without a
-//! thread when several arrive at once, which a load test would see as an upstream that hangs.
+//! The fakes use `hyper` rather than `tiny_http`, since simulating a crash requires dropping
+//! connections in the middle of a response.
 
 mod announcer;
 mod answer;
 mod attempts;
 mod chat;
-mod clock;
 mod completion;
 mod engine;
 mod engine_config;
+mod engine_orders;
 mod http;
+mod latency;
 mod order_book;
 mod order_config;
 mod order_service;
-mod orders;
-mod pace;
 mod prefix_cache;
 mod server;
+mod sleep;
 mod slots;
 
 pub use announcer::{AnnounceConfig, Announcer};
@@ -37,5 +36,5 @@
 pub use order_config::{OrderConfig, OrderStats};
 pub use order_service::OrderHandle;
 
-/// A prompt that holds this text crashes the engine that runs it.
+/// A prompt that contains this text crashes the engine that runs it.
 pub const POISON_MARKER: &str = "<<crash>>";
--- a/crates/fakes/src/order_book.rs
+++ b/crates/fakes/src/order_book.rs
@@ -1,4 +1,4 @@
-//! The bookings of a stand-in order service.
+//! The bookings of a fake order service.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// One booking.
+/// A booking.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct Booking {
     pub(crate) id: String,
@@ -14,7 +14,7 @@
     pub(crate) order: Value,
 }
 
-/// The database behind the replicas of an order service; each replica sees the bookings of all.
+/// The database shared by the replicas of an order service.
 ///
 /// ```
 /// use coltsfootnotch_fakes::{OrderConfig, OrderStore};
@@ -33,7 +33,7 @@
     }
 }
 
-/// All bookings by the order in which they were made.
+/// All bookings in insertion order.
 #[derive(Debug, Default)]
 pub(crate) struct OrderBook {
     bookings: Vec<Booking>,
@@ -41,39 +41,39 @@
 }
 
 impl OrderBook {
-    /// Books an order; a key booked before is booked again, so that a doubled call shows.
+    /// Adds a booking without deduplicating by key, so that tests detect duplicate calls.
     pub(crate) fn book(&mut self, key: &str, order: Value) -> Booking {
-        let place = self.bookings.len();
+        let index = self.bookings.len();
         let booking = Booking {
-            id: format!("ord-{:06}", place + 1),
+            id: format!("ord-{:06}", index + 1),
             key: key.to_owned(),
             order,
         };
         self.bookings.push(booking.clone());
-        self.by_key.entry(key.to_owned()).or_default().push(place);
+        self.by_key.entry(key.to_owned()).or_default().push(index);
         booking
     }
 
     pub(crate) fn by_id(&self, id: &str) -> Option<&Booking> {
-        let place = place_of(id)?;
-        self.bookings.get(place)
+        let index = index_of(id)?;
+        self.bookings.get(index)
     }
 
     pub(crate) fn by_key(&self, key: &str) -> Option<&Booking> {
-        let place = self.by_key.get(key)?.first()?;
-        self.bookings.get(*place)
+        let index = self.by_key.get(key)?.first()?;
+        self.bookings.get(*index)
     }
 
-    /// Replaces an order's contents; doing it twice is the same as doing it once.
+    /// Replaces the contents of an order; idempotent.
     pub(crate) fn replace(&mut self, id: &str, order: Value) -> Option<&Booking> {
-        let place = place_of(id)?;
-        let booking = self.bookings.get_mut(place)?;
+        let index = index_of(id)?;
+        let booking = self.bookings.get_mut(index)?;
         booking.order = order;
         Some(booking)
     }
 }
 
-fn place_of(id: &str) -> Option<usize> {
+fn index_of(id: &str) -> Option<usize> {
     let number: usize = id.strip_prefix("ord-")?.parse().ok()?;
     number.checked_sub(1)
 }
--- a/crates/fakes/src/order_config.rs
+++ b/crates/fakes/src/order_config.rs
@@ -1,37 +1,37 @@
-//! How a stand-in order service is made, and what it counts.
+//! Configuration and counters of a fake order service.
 
 use std::time::Duration;
 
 use crate::announcer::AnnounceConfig;
 use crate::order_book::OrderStore;
 
-/// How a stand-in order service is made.
+/// Configuration of a fake order service.
 #[derive(Debug, Clone)]
 pub struct OrderConfig {
     /// Name of the upstream, unique in the fleet.
     pub name: String,
-    /// Service that it belongs to.
+    /// Service that the upstream belongs to.
     pub pool: String,
-    /// Calls worked on at a time; further calls wait inside.
+    /// Maximum number of concurrent calls; further calls wait.
     pub slots: u32,
-    /// Time that a call takes.
+    /// Duration of a call.
     pub delay: Duration,
-    /// Probability that a booking is made and the connection then drops without an answer.
+    /// Probability that the connection drops without a response after a booking.
     pub lose_answer: f64,
-    /// Probability that a call is refused with 500 before anything is booked.
+    /// Probability that a call fails with status 500 before a booking.
     pub fail_before: f64,
-    /// Probability that a booking is made and then answered with 500.
+    /// Probability that a call fails with status 500 after a booking.
     pub fail_after: f64,
-    /// Where bookings are kept; replicas of one service share a store.
+    /// The bookings, shared by the replicas of a service.
     pub store: OrderStore,
-    /// Seed of the faults.
+    /// Seed for the faults.
     pub seed: u64,
-    /// Where the service announces itself, if it does.
+    /// How the service announces itself; `None` for no announcements.
     pub announce: Option<AnnounceConfig>,
 }
 
 impl OrderConfig {
-    /// A service without faults: 8 calls at a time, 2 ms each.
+    /// A service without faults: 8 concurrent calls, 2 ms each.
     #[must_use]
     pub fn new(name: impl Into<String>, pool: impl Into<String>) -> Self {
         Self {
@@ -49,16 +49,16 @@
     }
 }
 
-/// What a stand-in order service has done since it started.
+/// Counters of a fake order service since it started.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct OrderStats {
-    /// Calls worked on at a time.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Calls in work now.
+    /// Calls currently in progress.
     pub running: u32,
-    /// Calls that wait inside now.
+    /// Calls currently waiting.
     pub waiting: u32,
-    /// Slot time in use, summed over the slots.
+    /// Time in use, summed over all slots.
     pub busy: Duration,
     /// Time since the service started.
     pub up: Duration,
@@ -66,8 +66,8 @@
     pub calls: u64,
     /// Bookings made.
     pub booked: u64,
-    /// Answers lost after a booking.
+    /// Responses lost after a booking.
     pub answers_lost: u64,
-    /// Calls answered with 500.
+    /// Calls that failed with status 500.
     pub failed: u64,
 }
--- a/crates/fakes/src/order_service.rs
+++ b/crates/fakes/src/order_service.rs
@@ -1,7 +1,7 @@
-//! A stand-in order service: books without deduplicating, and can lose the answer after booking.
+//! A fake order service that books without deduplicating and can lose a response after booking.
 //!
-//! Real order services book whatever they are told to book. This one counts every booking of a
-//! key, so a call that was sent twice shows as a doubled booking.
+//! Like a real order service without idempotency, it books every call. Bookings are counted by key, so
+//! a call that was sent twice is detected as a duplicate booking.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -24,7 +24,7 @@
 use crate::slots::Slots;
 
 struct State {
-    /// How often this replica booked each key.
+    /// Number of bookings of this replica by key.
     booked: BTreeMap<String, usize>,
     stats: OrderStats,
     leaving: bool,
@@ -91,7 +91,7 @@
     }
 }
 
-/// A running stand-in order service; stops on drop.
+/// A running fake order service, stopped on drop.
 pub struct OrderHandle {
     service: Arc<Service>,
     server: Server,
@@ -102,7 +102,7 @@
     /// Starts an order service on a free loopback port.
     ///
     /// # Errors
-    /// Returns the system's error when no port or thread is to be had.
+    /// Returns an error when no port or thread is available.
     ///
     /// ```
     /// use coltsfootnotch_fakes::{OrderConfig, OrderHandle};
@@ -114,14 +114,14 @@
     pub fn start(cfg: OrderConfig) -> io::Result<Self> {
         let announce = cfg.announce;
         let service = Arc::new(Service::new(cfg));
-        let service2 = Arc::clone(&service);
+        let service_clone = Arc::clone(&service);
         let server = Server::start("fake-orders", |_| {
-            move |req| answer(Arc::clone(&service2), req)
+            move |req| handle_request(Arc::clone(&service_clone), req)
         })?;
         let address = server.address();
-        let service2 = Arc::clone(&service);
+        let service_clone = Arc::clone(&service);
         let announcer = announce
-            .map(|cfg| Announcer::start(cfg, move || service2.announcement(address, cfg.ttl)))
+            .map(|cfg| Announcer::start(cfg, move || service_clone.announcement(address, cfg.ttl)))
             .transpose()?;
         Ok(Self {
             service,
@@ -130,47 +130,47 @@
         })
     }
 
-    /// Address that takes calls.
+    /// Address on which the service accepts calls.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Name of the upstream.
+    /// The name of the upstream.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.service.cfg.name
     }
 
-    /// What the service has done so far.
+    /// Counters since the service started.
     #[must_use]
     pub fn stats(&self) -> OrderStats {
         self.service.stats()
     }
 
-    /// How often this replica booked each key; more than one over all replicas is a doubled booking.
+    /// Number of bookings of this replica by key. More than one over all replicas is a duplicate.
     #[must_use]
     pub fn bookings(&self) -> BTreeMap<String, usize> {
         self.service.lock().booked.clone()
     }
 
-    /// Announcements that the sidecar has accepted.
+    /// Number of announcements that the sidecar accepted.
     #[must_use]
     pub fn announced(&self) -> u64 {
         self.announcer.as_ref().map_or(0, Announcer::accepted)
     }
 
-    /// Announces from now on that the service is leaving, or that it stays after all.
+    /// Sets whether announcements say that the service is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         self.service.lock().leaving = leaving;
     }
 
-    /// Drops every connection and closes the port for `down`; bookings made so far are kept.
+    /// Drops every connection and closes the port for `down`; bookings are kept.
     pub fn crash(&self, down: Duration) {
         self.server.crasher().crash(down);
     }
 
-    /// Ends the announcements and the server, and joins their threads.
+    /// Stops the announcer and the server and joins their threads.
     pub fn stop(&mut self) {
         if let Some(announcer) = &mut self.announcer {
             announcer.stop();
@@ -179,7 +179,7 @@
     }
 }
 
-async fn answer(service: Arc<Service>, req: Req) -> Result<Reply, DropConnection> {
+async fn handle_request(service: Arc<Service>, req: Req) -> Result<Reply, DropConnection> {
     let method = req.method().clone();
     let path = req.uri().path().to_owned();
     let key = header(&req, "idempotency-key").map(str::to_owned);
@@ -201,7 +201,7 @@
     }
     drop(state);
     let mut book = service.cfg.store.lock();
-    Ok(reread_or_replace(&mut book, &method, &path, &body))
+    Ok(read_or_replace(&mut book, &method, &path, &body))
 }
 
 fn book(
@@ -235,14 +235,14 @@
     Ok(json(StatusCode::CREATED, &booking))
 }
 
-fn reread_or_replace(book: &mut OrderBook, method: &Method, path: &str, body: &[u8]) -> Reply {
+fn read_or_replace(book: &mut OrderBook, method: &Method, path: &str, body: &[u8]) -> Reply {
     if (method, path) == (&Method::GET, "/healthz") {
         return empty(StatusCode::OK);
     }
     let Some(rest) = path.strip_prefix("/orders/") else {
         return error(StatusCode::NOT_FOUND, "no such path");
     };
-    let found = match (method, rest.strip_prefix("by-key/")) {
+    let booking = match (method, rest.strip_prefix("by-key/")) {
         (&Method::GET, Some(key)) => book.by_key(key),
         (&Method::GET, None) => book.by_id(rest),
         (&Method::PUT, None) => match serde_json::from_slice::<Value>(body) {
@@ -251,7 +251,7 @@
         },
         _ => return error(StatusCode::METHOD_NOT_ALLOWED, "no such method here"),
     };
-    match found {
+    match booking {
         Some(booking) => json(StatusCode::OK, booking),
         None => error(StatusCode::NOT_FOUND, "no such order"),
     }
--- a/crates/fakes/src/prefix_cache.rs
+++ b/crates/fakes/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of a stand-in engine, and its events, published late and with gaps.
+//! The prefix cache of a fake engine and its events, which are published with delay and loss.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use coltsfootnotch_wire::announce::{CacheEvent, CacheOp, MAX_CACHE_EVENTS};
 use rand::Rng;
 
-/// Prefixes in order of use, the least recent first.
+/// A least-recently-used cache of prefixes, least recent first.
 pub(crate) struct PrefixCache {
     capacity: usize,
     prefixes: VecDeque<String>,
@@ -24,33 +24,33 @@
         }
     }
 
-    /// Uses `prefix`, caching it when it is new; returns whether it was cached.
+    /// Marks `prefix` as used, adding it if absent; returns whether it was cached.
     pub(crate) fn touch(&mut self, prefix: &str) -> bool {
         if self.capacity == 0 {
             return false;
         }
-        let place = self.prefixes.iter().position(|cached| cached == prefix);
-        if let Some(place) = place {
-            self.prefixes.remove(place);
+        let index = self.prefixes.iter().position(|cached| cached == prefix);
+        if let Some(index) = index {
+            self.prefixes.remove(index);
         } else {
-            self.note(prefix, CacheOp::Add);
+            self.record_event(prefix, CacheOp::Add);
         }
         self.prefixes.push_back(prefix.to_owned());
         if self.prefixes.len() > self.capacity
             && let Some(evicted) = self.prefixes.pop_front()
         {
-            self.note(&evicted, CacheOp::Evict);
+            self.record_event(&evicted, CacheOp::Evict);
         }
-        place.is_some()
+        index.is_some()
     }
 
-    /// Forgets everything, as a crash does; nothing tells the listeners.
+    /// Clears the cache without publishing events, as a crash does.
     pub(crate) fn clear(&mut self) {
         self.prefixes.clear();
         self.events.clear();
     }
 
-    /// Takes the events at least `lag` old; each is lost with probability `loss`.
+    /// Removes and returns the events at least `lag` old; each is lost with probability `loss`.
     pub(crate) fn publish(
         &mut self,
         lag: Duration,
@@ -72,7 +72,7 @@
         published
     }
 
-    fn note(&mut self, prefix: &str, op: CacheOp) {
+    fn record_event(&mut self, prefix: &str, op: CacheOp) {
         let event = CacheEvent {
             seq: self.next_seq,
             prefix: prefix.to_owned(),
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server under every stand-in: one thread, one task a connection, and a way to crash.
+//! The HTTP server of the fakes: one thread, one task per connection, and simulated crashes.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,27 +17,27 @@
 
 use crate::http::{DropConnection, Reply, Req};
 
-/// Pause before the port is bound again when the system still holds it.
-const REBIND_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before retrying to bind a port that is still in use.
+const REBIND_DELAY: Duration = Duration::from_millis(20);
 
 enum Command {
     Crash(Duration),
     Stop,
 }
 
-/// Crashes a running server from within or without.
+/// A handle for crashing a running server.
 #[derive(Clone)]
 pub(crate) struct Crasher(UnboundedSender<Command>);
 
 impl Crasher {
     /// Drops every connection and refuses new ones for `down`.
     pub(crate) fn crash(&self, down: Duration) {
-        // A server that has stopped has no connections left to drop.
+        // Fails only if the server has stopped.
         let _ = self.0.send(Command::Crash(down));
     }
 }
 
-/// A running server; stops on drop.
+/// A running server, stopped on drop.
 pub(crate) struct Server {
     address: SocketAddr,
     commands: UnboundedSender<Command>,
@@ -45,7 +45,7 @@
 }
 
 impl Server {
-    /// Listens on a free loopback port and answers with the handler that `make` returns.
+    /// Listens on a free loopback port and serves requests with the handler returned by `make`.
     pub(crate) fn start<H, F>(name: &str, make: impl FnOnce(Crasher) -> H) -> io::Result<Self>
     where
         H: Fn(Req) -> F + Send + Sync + 'static,
@@ -83,10 +83,10 @@
 
     /// Drops every connection and joins the thread.
     pub(crate) fn stop(&mut self) {
-        // Refused only by a thread that has ended already.
+        // Fails only if the thread has finished.
         let _ = self.commands.send(Command::Stop);
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread has been printed; the stand-in ends all the same.
+            // A panic of the thread was already printed by the panic hook.
             let _ = thread.join();
         }
     }
@@ -115,7 +115,7 @@
                 Some(Command::Crash(down)) => {
                     drop(listener);
                     connections.shutdown().await;
-                    match wait_until_up(&mut commands, address, down).await {
+                    match rebind_after(&mut commands, address, down).await {
                         Some(bound) => listener = bound,
                         None => return,
                     }
@@ -131,8 +131,8 @@
     }
 }
 
-/// Leaves the port closed for `down` and binds it again; `None` when the server is to stop.
-async fn wait_until_up(
+/// Rebinds the port after `down`; returns `None` if the server is stopped meanwhile.
+async fn rebind_after(
     commands: &mut UnboundedReceiver<Command>,
     address: SocketAddr,
     down: Duration,
@@ -146,7 +146,7 @@
             },
             () = sleep_until(up_at) => match TcpListener::bind(address).await {
                 Ok(listener) => return Some(listener),
-                Err(_) => sleep(REBIND_PAUSE).await,
+                Err(_) => sleep(REBIND_DELAY).await,
             },
         }
     }
@@ -161,7 +161,7 @@
         return;
     }
     let service = service_fn(move |req| handler(req));
-    // A broken connection is the caller's to notice; the stand-in counts what it ran.
+    // A broken connection is reported to the caller only.
     let _: Result<(), hyper::Error> = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
--- a/crates/fakes/src/slots.rs
+++ b/crates/fakes/src/slots.rs
@@ -1,4 +1,4 @@
-//! The places in an upstream's batch, given out in order of arrival.
+//! The slots of an upstream's batch, assigned in order of arrival.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,47 +6,48 @@
 
 use tokio::sync::Semaphore;
 
-/// How full the batch is.
+/// The number of running and waiting requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Occupancy {
     pub(crate) running: u32,
     pub(crate) waiting: u32,
 }
 
-struct Busy {
+/// Accumulates the time that slots are in use.
+struct BusyTime {
     running: u32,
     total: Duration,
-    counted_until: Instant,
+    updated_at: Instant,
 }
 
-impl Busy {
-    fn count(&mut self) {
+impl BusyTime {
+    fn update(&mut self) {
         let now = Instant::now();
-        self.total += (now - self.counted_until) * self.running;
-        self.counted_until = now;
+        self.total += (now - self.updated_at) * self.running;
+        self.updated_at = now;
     }
 }
 
-/// A fixed number of slots; whoever came first is let in first, since engines know no priorities.
+/// A fixed number of slots, assigned first-come, first-served.
 #[derive(Clone)]
 pub(crate) struct Slots {
     size: u32,
     free: Arc<Semaphore>,
     waiting: Arc<AtomicU32>,
-    busy: Arc<Mutex<Busy>>,
+    busy: Arc<Mutex<BusyTime>>,
 }
 
-/// Counts a waiting request for as long as it waits, also when its caller goes away.
-struct Waiting<'a>(&'a AtomicU32);
+/// Counts a waiting request until dropped, also when its caller disconnects.
+struct WaitingGuard<'a>(&'a AtomicU32);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingGuard<'a> {
     fn new(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::SeqCst);
         Self(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -54,10 +55,10 @@
 
 impl Slots {
     pub(crate) fn new(size: u32) -> Self {
-        let busy = Busy {
+        let busy = BusyTime {
             running: 0,
             total: Duration::ZERO,
-            counted_until: Instant::now(),
+            updated_at: Instant::now(),
         };
         Self {
             size,
@@ -67,20 +68,20 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Busy> {
+    fn lock(&self) -> MutexGuard<'_, BusyTime> {
         self.busy.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a slot.
+    /// Acquires a slot, waiting until one is free.
     pub(crate) async fn acquire(&self) -> Slot {
-        let waiting = Waiting::new(&self.waiting);
-        // The semaphore is never closed, so the permit is always granted.
+        let waiting = WaitingGuard::new(&self.waiting);
+        // Never fails, since the semaphore is not closed.
         if let Ok(permit) = self.free.acquire().await {
             permit.forget();
         }
         drop(waiting);
         let mut busy = self.lock();
-        busy.count();
+        busy.update();
         busy.running += 1;
         drop(busy);
         Slot {
@@ -99,15 +100,15 @@
         }
     }
 
-    /// Time that slots were in use, summed over the slots.
+    /// Time in use, summed over all slots.
     pub(crate) fn busy(&self) -> Duration {
         let mut busy = self.lock();
-        busy.count();
+        busy.update();
         busy.total
     }
 }
 
-/// One slot in use; free again on drop.
+/// An acquired slot, released on drop.
 pub(crate) struct Slot {
     slots: Slots,
 }
@@ -115,7 +116,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let mut busy = self.slots.lock();
-        busy.count();
+        busy.update();
         busy.running -= 1;
         drop(busy);
         self.slots.free.add_permits(1);
--- a/crates/fakes/tests/engine.rs
+++ b/crates/fakes/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine answers, resumes, cancels, queues and crashes as real ones do.
+//! Completions, resuming, cancelling, queueing and crashes of the fake engine.
 
 use std::io::{BufRead, BufReader};
 use std::thread;
@@ -32,11 +32,11 @@
     format!("http://{}{path}", engine.address())
 }
 
-/// The texts of a stream's chunks, and the reason that it gave for its end.
+/// Returns the contents of a stream's chunks and its finish reason.
 fn read_stream(body: ureq::Body) -> (Vec<String>, String) {
     let (mut tokens, mut reason) = (Vec::new(), String::new());
     for line in BufReader::new(body.into_reader()).lines() {
-        let line = line.expect("the stream is not cut");
+        let line = line.expect("the stream is complete");
         let Some(data) = line.strip_prefix("data: ").filter(|data| *data != "[DONE]") else {
             continue;
         };
@@ -49,13 +49,13 @@
 }
 
 #[gtest]
-fn an_answer_follows_from_its_request() {
+fn an_answer_is_determined_by_its_prompt() {
     let engine = engine(|_| {});
-    let mut answer = agent()
+    let mut response = agent()
         .post(url(&engine, "/v1/chat/completions"))
         .send(chat("primer for a wet slab", 5, false))
-        .expect("the engine answers");
-    let answer: Value = serde_json::from_reader(answer.body_mut().as_reader()).expect("JSON");
+        .expect("the engine responds");
+    let answer: Value = serde_json::from_reader(response.body_mut().as_reader()).expect("JSON");
     let content = answer["choices"][0]["message"]["content"].as_str();
     expect_that!(
         content,
@@ -66,15 +66,15 @@
 }
 
 #[gtest]
-fn a_stream_resumes_at_the_token_asked_for() {
+fn a_stream_resumes_at_the_requested_token() {
     let engine = engine(|_| {});
-    let answer = agent()
+    let response = agent()
         .post(url(&engine, "/v1/chat/completions"))
         .header("x-attempt-id", "a-1")
         .header("x-resume-from", "3")
         .send(chat("topcoat", 5, true))
-        .expect("the engine answers");
-    let (tokens, reason) = read_stream(answer.into_body());
+        .expect("the engine responds");
+    let (tokens, reason) = read_stream(response.into_body());
     let expected = vec![expected_token("topcoat", 3), expected_token("topcoat", 4)];
     expect_that!(tokens, eq(&expected));
     expect_that!(reason, eq("length"));
@@ -82,26 +82,26 @@
 }
 
 #[gtest]
-fn a_cancelled_stream_says_so_and_frees_its_slot() {
+fn a_cancelled_stream_reports_it_and_releases_its_slot() {
     let engine = engine(|cfg| cfg.slots = 1);
-    let answer = agent()
+    let response = agent()
         .post(url(&engine, "/v1/chat/completions"))
         .header("x-attempt-id", "a-2")
         .send(chat("screed", 20_000, true))
-        .expect("the engine answers");
+        .expect("the engine responds");
     let cancel = agent()
         .delete(url(&engine, "/v1/attempts/a-2"))
         .call()
-        .expect("the engine answers");
+        .expect("the engine responds");
     expect_that!(cancel.status().as_u16(), eq(204));
-    let (_, reason) = read_stream(answer.into_body());
+    let (_, reason) = read_stream(response.into_body());
     expect_that!(reason, eq("cancelled"));
     expect_that!(engine.stats().cancelled, eq(1));
     expect_that!(engine.stats().running, eq(0));
 }
 
 #[gtest]
-fn requests_beyond_the_slots_wait_inside() {
+fn requests_beyond_the_slots_wait_in_the_engine() {
     let engine = engine(|cfg| cfg.slots = 2);
     let url = url(&engine, "/v1/chat/completions");
     thread::scope(|scope| {
@@ -119,44 +119,43 @@
     expect_that!(stats.running + stats.waiting, eq(0));
 }
 
-// A request that holds the marker crashes the engine: its caller and every other caller see their
-// connections drop, and the port refuses connections until the engine is back, when it answers
-// again. A stand-in that only closed the marked connection would hide what the others lose.
+// A request with the crash marker drops the connections of all callers, not only its own, and the port
+// stays closed until the engine restarts.
 #[gtest]
-fn a_marked_request_drops_every_connection() {
+fn a_request_with_the_crash_marker_drops_every_connection() {
     let engine = engine(|cfg| cfg.down_after_crash = Duration::from_millis(300));
     let url = url(&engine, "/v1/chat/completions");
     let bystander = agent()
         .post(&url)
         .send(chat("bystander", 20_000, true))
-        .expect("the engine answers");
-    let marked = agent().post(&url).send(chat(POISON_MARKER, 5, false));
-    expect_that!(marked.is_err(), eq(true));
-    let cut = BufReader::new(bystander.into_body().into_reader())
+        .expect("the engine responds");
+    let crashing = agent().post(&url).send(chat(POISON_MARKER, 5, false));
+    expect_that!(crashing.is_err(), eq(true));
+    let is_aborted = BufReader::new(bystander.into_body().into_reader())
         .lines()
         .any(|line| line.is_err());
-    expect_that!(cut, eq(true));
-    let mut back = false;
+    expect_that!(is_aborted, eq(true));
+    let mut restarted = false;
     for _ in 0..200 {
-        back = agent().post(&url).send(chat("again", 2, false)).is_ok();
-        if back {
+        restarted = agent().post(&url).send(chat("again", 2, false)).is_ok();
+        if restarted {
             break;
         }
         thread::sleep(Duration::from_millis(20));
     }
-    expect_that!(back, eq(true));
+    expect_that!(restarted, eq(true));
     expect_that!(engine.stats().crashes, eq(1));
 }
 
 #[gtest]
-fn an_old_fencing_number_is_refused() {
+fn a_stale_fencing_number_is_refused() {
     let engine = engine(|_| {});
     let order = |fence: u64| {
         let body = json!({"fence": fence, "order": "load", "name": "menu-adapter"});
-        let answer = agent()
+        let response = agent()
             .post(url(&engine, "/v1/orders"))
             .send(body.to_string());
-        answer.expect("the engine answers").status().as_u16()
+        response.expect("the engine responds").status().as_u16()
     };
     expect_that!([order(7), order(6), order(7)], eq([200, 409, 200]));
 }
--- a/crates/fakes/tests/order_service.rs
+++ b/crates/fakes/tests/order_service.rs
@@ -1,4 +1,4 @@
-//! The stand-in order service shows doubled bookings and lost answers.
+//! Duplicate bookings and lost responses of the fake order service.
 
 use std::time::Duration;
 
@@ -13,33 +13,34 @@
 }
 
 fn book(service: &OrderHandle, key: &str) -> std::result::Result<u16, ureq::Error> {
-    let answer = agent()
+    let response = agent()
         .post(format!("http://{}/orders", service.address()))
         .header("idempotency-key", key)
         .send(r#"{"sample":"screed"}"#)?;
-    Ok(answer.status().as_u16())
+    Ok(response.status().as_u16())
 }
 
 #[gtest]
-fn a_key_booked_twice_shows_as_doubled() {
-    let service = OrderHandle::start(OrderConfig::new("desk-1", "member-desk")).expect("starts");
+fn duplicate_bookings_of_a_key_are_counted() {
+    let service =
+        OrderHandle::start(OrderConfig::new("desk-1", "member-desk")).expect("the service starts");
     expect_that!(book(&service, "k-1"), ok(eq(&201)));
     expect_that!(book(&service, "k-1"), ok(eq(&201)));
     expect_that!(service.bookings().get("k-1"), some(eq(&2)));
 }
 
-// The service books and its answer is lost: the caller sees the connection drop and can't tell
-// whether it was booked. Rereading by the key is the only way to find out.
+// After a lost response the caller doesn't know whether the call was booked; reading by key resolves
+// it.
 #[gtest]
-fn a_lost_answer_leaves_a_booking_that_can_be_reread() {
+fn a_booking_with_a_lost_response_can_be_read_by_key() {
     let mut cfg = OrderConfig::new("desk-1", "member-desk");
     cfg.lose_answer = 1.0;
-    let service = OrderHandle::start(cfg).expect("starts");
+    let service = OrderHandle::start(cfg).expect("the service starts");
     expect_that!(book(&service, "k-2").is_err(), eq(true));
-    let reread = agent()
+    let response = agent()
         .get(format!("http://{}/orders/by-key/k-2", service.address()))
         .call()
-        .expect("the service answers");
-    expect_that!(reread.status().as_u16(), eq(200));
+        .expect("the service responds");
+    expect_that!(response.status().as_u16(), eq(200));
     expect_that!(service.stats().answers_lost, ge(1));
 }
