--- a/crates/fakes/src/completion.rs
+++ b/crates/fakes/src/completion.rs
@@ -13,6 +13,7 @@
 use crate::chat::{ChatRequest, Choice, Completion, Delta, Message, Usage};
 use crate::engine::Engine;
 use crate::http::{DropConnection, Reply, Req, error, events, header, json, read_body};
+use crate::run_guard::{Outcome, RunGuard};
 use crate::server::Crasher;
 
 /// Default of `max_tokens`.
@@ -20,14 +21,6 @@
 /// Upper bound of `max_tokens`.
 const MAX_TOKENS: u32 = 32_768;
 
-/// The outcome of a run.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Outcome {
-    Completed,
-    Cancelled,
-    Abandoned,
-}
-
 /// A request in the engine.
 struct Job {
     engine: Arc<Engine>,
@@ -88,26 +81,6 @@
     }
 }
 
-/// Counts the outcome of a run on drop, also when the job is dropped on disconnection.
-struct RunGuard {
-    engine: Arc<Engine>,
-    attempt: String,
-    cancel: Arc<Notify>,
-    outcome: Outcome,
-}
-
-impl Drop for RunGuard {
-    fn drop(&mut self) {
-        let mut state = self.engine.lock();
-        state.attempts.finish(&self.attempt, &self.cancel);
-        match self.outcome {
-            Outcome::Completed => state.stats.finished += 1,
-            Outcome::Cancelled => state.stats.cancelled += 1,
-            Outcome::Abandoned => state.stats.abandoned += 1,
-        }
-    }
-}
-
 /// Sleeps, but only yields for zero, since the timer sleeps for at least a millisecond.
 async fn sleep_or_yield(time: Duration) {
     if time.is_zero() {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -24,6 +24,7 @@
 mod order_config;
 mod order_service;
 mod prefix_cache;
+mod run_guard;
 mod server;
 mod sleep;
 mod slots;
