--- a/crates/chart/src/chart.rs
+++ b/crates/chart/src/chart.rs
@@ -1,6 +1,6 @@
 //! A chart as a transition table.
 
-use crate::findings::ChartFindings;
+use crate::errors::ChartErrors;
 use crate::source::{ChartSource, StateSource};
 use crate::{EventId, StateId};
 
@@ -62,31 +62,31 @@
     ///     }"#,
     /// )?;
     /// assert!(chart.check().is_empty());
-    /// # Ok::<(), coltsfootnotch_chart::ChartFindings>(())
+    /// # Ok::<(), coltsfootnotch_chart::ChartErrors>(())
     /// ```
-    pub fn parse(text: &str) -> Result<Self, ChartFindings> {
-        let mut findings = ChartFindings::default();
+    pub fn parse(text: &str) -> Result<Self, ChartErrors> {
+        let mut errors = ChartErrors::default();
         if text.len() > MAX_TEXT_BYTES {
-            findings.add(
+            errors.add(
                 "1:1",
                 format!(
                     "{} bytes exceed the maximum of {MAX_TEXT_BYTES}",
                     text.len()
                 ),
             );
-            return Err(findings);
+            return Err(errors);
         }
         match serde_json::from_str::<ChartSource>(text) {
-            Ok(source) => Self::build(source, findings),
+            Ok(source) => Self::build(source, errors),
             Err(error) => {
                 let place = format!("{}:{}", error.line(), error.column());
-                findings.add(place, error.to_string());
-                Err(findings)
+                errors.add(place, error.to_string());
+                Err(errors)
             }
         }
     }
 
-    fn build(source: ChartSource, mut findings: ChartFindings) -> Result<Self, ChartFindings> {
+    fn build(source: ChartSource, mut errors: ChartErrors) -> Result<Self, ChartErrors> {
         let states = source
             .states
             .iter()
@@ -104,23 +104,23 @@
             name: source.name,
             about: source.about,
         };
-        check_names(&chart.states, "state", &mut findings);
-        check_names(&chart.events, "event", &mut findings);
-        if !findings.is_empty() {
-            return Err(findings);
+        check_names(&chart.states, "state", &mut errors);
+        check_names(&chart.events, "event", &mut errors);
+        if !errors.is_empty() {
+            return Err(errors);
         }
         match chart.state(&source.initial) {
             Some(initial) => chart.initial = initial,
-            None => findings.add("initial", format!("unknown state {:?}", source.initial)),
+            None => errors.add("initial", format!("unknown state {:?}", source.initial)),
         }
         for state in &source.states {
-            let row = chart.row(state, &mut findings);
+            let row = chart.row(state, &mut errors);
             chart.reactions.extend(row);
         }
-        findings.into_result(chart)
+        errors.into_result(chart)
     }
 
-    fn row(&self, state: &StateSource, findings: &mut ChartFindings) -> Vec<Reaction> {
+    fn row(&self, state: &StateSource, errors: &mut ChartErrors) -> Vec<Reaction> {
         let default = if state.is_final {
             Reaction::Ignored
         } else {
@@ -142,20 +142,20 @@
             .map(|event| (event, Some(Reaction::Never), ""));
         for (event, reaction, target) in transitions.chain(ignored).chain(never) {
             let Some(EventId(index)) = self.event(event) else {
-                findings.add(&state.name, format!("unknown event {event:?}"));
+                errors.add(&state.name, format!("unknown event {event:?}"));
                 continue;
             };
             let Some(reaction) = reaction else {
-                findings.add(&state.name, format!("unknown state {target:?}"));
+                errors.add(&state.name, format!("unknown state {target:?}"));
                 continue;
             };
             if state.is_final {
-                findings.add(
+                errors.add(
                     &state.name,
                     format!("the final state has a reaction to {event:?}"),
                 );
             } else if row[usize::from(index)] != Reaction::Unhandled {
-                findings.add(
+                errors.add(
                     &state.name,
                     format!("the event {event:?} has several reactions"),
                 );
@@ -255,12 +255,12 @@
     u8::try_from(index).ok()
 }
 
-fn check_names(list: &[Definition], what: &str, findings: &mut ChartFindings) {
+fn check_names(list: &[Definition], what: &str, errors: &mut ChartErrors) {
     if list.is_empty() {
-        findings.add("chart", format!("the chart has no {what}s"));
+        errors.add("chart", format!("the chart has no {what}s"));
     }
     if list.len() > MAX_NAMES {
-        findings.add(
+        errors.add(
             "chart",
             format!("{} {what}s exceed the maximum of {MAX_NAMES}", list.len()),
         );
@@ -270,7 +270,7 @@
             .iter()
             .any(|earlier| earlier.name == definition.name)
         {
-            findings.add(&definition.name, format!("duplicate {what}"));
+            errors.add(&definition.name, format!("duplicate {what}"));
         }
     }
 }
--- a/crates/chart/src/charts.rs
+++ b/crates/chart/src/charts.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::{
-    Chart, ChartFindings, ControlMemberEvent, ControlMemberState, DaemonEvent, DaemonState,
+    Chart, ChartErrors, ControlMemberEvent, ControlMemberState, DaemonEvent, DaemonState,
     HostEvent, HostState, RequestEvent, RequestState, UpstreamEvent, UpstreamState,
 };
 
@@ -38,9 +38,9 @@
     /// ```
     /// let charts = coltsfootnotch_chart::Charts::load()?;
     /// assert_eq!(charts.host.name(), "host");
-    /// # Ok::<(), coltsfootnotch_chart::ChartFindings>(())
+    /// # Ok::<(), coltsfootnotch_chart::ChartErrors>(())
     /// ```
-    pub fn load() -> Result<Self, ChartFindings> {
+    pub fn load() -> Result<Self, ChartErrors> {
         let request = load(
             include_str!("../charts/request.json"),
             names!(RequestState),
@@ -80,23 +80,23 @@
     text: &str,
     states: impl Iterator<Item = &'static str>,
     events: impl Iterator<Item = &'static str>,
-) -> Result<Arc<Chart>, ChartFindings> {
+) -> Result<Arc<Chart>, ChartErrors> {
     let chart = Chart::parse(text)?;
-    let mut findings = ChartFindings::default();
-    findings.extend(chart.name(), chart.check());
+    let mut errors = ChartErrors::default();
+    errors.extend(chart.name(), chart.check());
     if !chart
         .state_ids()
         .map(|state| chart.state_name(state))
         .eq(states)
     {
-        findings.add(chart.name(), "the states differ from the state enumeration");
+        errors.add(chart.name(), "the states differ from the state enumeration");
     }
     if !chart
         .event_ids()
         .map(|event| chart.event_name(event))
         .eq(events)
     {
-        findings.add(chart.name(), "the events differ from the event enumeration");
+        errors.add(chart.name(), "the events differ from the event enumeration");
     }
-    findings.into_result(Arc::new(chart))
+    errors.into_result(Arc::new(chart))
 }
--- a/crates/chart/src/check.rs
+++ b/crates/chart/src/check.rs
@@ -1,14 +1,14 @@
 //! Checks for unreachable states and unhandled events.
 
 use crate::chart::Reaction;
-use crate::{Chart, ChartFindings, StateId};
+use crate::{Chart, ChartErrors, StateId};
 
 impl Chart {
     /// Finds unreachable states, states that cannot reach a final state, events that a state does not
     /// handle, and events without a transition in any state.
     #[must_use]
-    pub fn check(&self) -> ChartFindings {
-        let mut findings = ChartFindings::default();
+    pub fn check(&self) -> ChartErrors {
+        let mut errors = ChartErrors::default();
         let reachable = self.transitive_closure(
             |reachable| {
                 self.transitions()
@@ -33,10 +33,10 @@
         );
         for state in self.state_ids() {
             if !reachable.contains(&state) {
-                findings.add(self.state_name(state), "the state is unreachable");
+                errors.add(self.state_name(state), "the state is unreachable");
             }
             if !terminating.contains(&state) {
-                findings.add(
+                errors.add(
                     self.state_name(state),
                     "no final state is reachable from this state",
                 );
@@ -44,20 +44,20 @@
             for event in self.event_ids() {
                 if self.reaction(state, event) == Reaction::Unhandled {
                     let message = format!("the event {:?} is not handled", self.event_name(event));
-                    findings.add(self.state_name(state), message);
+                    errors.add(self.state_name(state), message);
                 }
             }
         }
         for event in self.event_ids() {
             let has_transition = |state| matches!(self.reaction(state, event), Reaction::To(_));
             if !self.state_ids().any(has_transition) {
-                findings.add(
+                errors.add(
                     self.event_name(event),
                     "no state has a transition for this event",
                 );
             }
         }
-        findings
+        errors
     }
 
     /// Adds the states returned by `step` to `states` until a fixed point is reached.
--- a/crates/chart/src/findings.rs
+++ b/crates/chart/src/errors.rs
@@ -7,7 +7,7 @@
 /// A problem of a chart.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Display, Error)]
 #[display("{place}: {message}")]
-pub struct ChartFinding {
+pub struct ChartError {
     /// The state or event concerned, or the line and column of invalid JSON.
     pub place: String,
     /// A description of the problem.
@@ -16,21 +16,21 @@
 
 /// All problems of a chart; displayed one per line.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Error)]
-pub struct ChartFindings {
-    found: Vec<ChartFinding>,
+pub struct ChartErrors {
+    errors: Vec<ChartError>,
 }
 
-impl ChartFindings {
+impl ChartErrors {
     pub(crate) fn add(&mut self, place: impl Into<String>, message: impl Into<String>) {
-        self.found.push(ChartFinding {
+        self.errors.push(ChartError {
             place: place.into(),
             message: message.into(),
         });
     }
 
     pub(crate) fn extend(&mut self, chart: &str, more: Self) {
-        for finding in more.found {
-            self.add(format!("{chart}: {}", finding.place), finding.message);
+        for error in more.errors {
+            self.add(format!("{chart}: {}", error.place), error.message);
         }
     }
 
@@ -46,22 +46,22 @@
     /// Whether there are no problems.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.found.is_empty()
+        self.errors.is_empty()
     }
 
     /// The problems in file order.
-    pub fn iter(&self) -> impl Iterator<Item = &ChartFinding> {
-        self.found.iter()
+    pub fn iter(&self) -> impl Iterator<Item = &ChartError> {
+        self.errors.iter()
     }
 }
 
-impl fmt::Display for ChartFindings {
+impl fmt::Display for ChartErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, finding) in self.found.iter().enumerate() {
+        for (index, error) in self.errors.iter().enumerate() {
             if index > 0 {
                 writeln!(f)?;
             }
-            write!(f, "{finding}")?;
+            write!(f, "{error}")?;
         }
         Ok(())
     }
--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -9,7 +9,7 @@
 mod chart;
 mod charts;
 mod check;
-mod findings;
+mod errors;
 mod ids;
 mod machine;
 mod source;
@@ -17,9 +17,9 @@
 
 pub use chart::Chart;
 pub use charts::Charts;
-pub use findings::{ChartFinding, ChartFindings};
+pub use errors::{ChartError, ChartErrors};
 pub use ids::{EventId, StateId};
-pub use machine::{Machine, NeverExpected, Transition};
+pub use machine::{Machine, Transition, UnexpectedEvent};
 pub use symbols::{
     ControlMemberEvent, ControlMemberState, DaemonEvent, DaemonState, HostEvent, HostState,
     RequestEvent, RequestState, UpstreamEvent, UpstreamState,
--- a/crates/chart/src/machine.rs
+++ b/crates/chart/src/machine.rs
@@ -26,7 +26,7 @@
 /// This is a bug in the program, not the result of external input.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("unexpected event {event} in state {state} of chart {chart}")]
-pub struct NeverExpected {
+pub struct UnexpectedEvent {
     chart: String,
     state: String,
     event: String,
@@ -51,7 +51,7 @@
     /// machine.fire(RequestEvent::Admitted)?;
     /// assert!(machine.is(RequestState::Waiting));
     /// assert_eq!(machine.state_name(), "waiting");
-    /// # Ok::<(), coltsfootnotch_chart::NeverExpected>(())
+    /// # Ok::<(), coltsfootnotch_chart::UnexpectedEvent>(())
     /// ```
     #[must_use]
     pub fn new(chart: &Arc<Chart>) -> Self {
@@ -80,8 +80,8 @@
     /// Applies an event.
     ///
     /// # Errors
-    /// Returns [`NeverExpected`] and keeps its state when the chart rules the event out in this state.
-    pub fn fire(&mut self, event: impl Into<EventId>) -> Result<Transition, NeverExpected> {
+    /// Returns [`UnexpectedEvent`] and keeps its state when the chart rules the event out in this state.
+    pub fn fire(&mut self, event: impl Into<EventId>) -> Result<Transition, UnexpectedEvent> {
         let event = event.into();
         match self.chart.reaction(self.state, event) {
             Reaction::To(to) => {
@@ -94,8 +94,8 @@
     }
 
     #[cold]
-    fn unexpected(&self, event: EventId) -> NeverExpected {
-        NeverExpected {
+    fn unexpected(&self, event: EventId) -> UnexpectedEvent {
+        UnexpectedEvent {
             chart: self.chart.name().to_owned(),
             state: self.state_name().to_owned(),
             event: self.chart.event_name(event).to_owned(),
--- a/crates/chart/src/symbols/control_member.rs
+++ b/crates/chart/src/symbols/control_member.rs
@@ -22,7 +22,7 @@
         Promoted = "promoted",
         Demoted = "demoted",
         Removed = "removed",
-        LeaderHeard = "leader-heard",
+        LeaderMessage = "leader-message",
         ElectionTimeout = "election-timeout",
         PreVoteWon = "pre-vote-won",
         VoteWon = "vote-won",
--- a/crates/chart/src/symbols/daemon.rs
+++ b/crates/chart/src/symbols/daemon.rs
@@ -17,9 +17,9 @@
     /// Events of the chart `daemon`.
     DaemonEvent, EventId {
         ConfigInForce = "config-in-force",
-        ShutdownAsked = "shutdown-asked",
+        ShutdownRequested = "shutdown-requested",
         Drained = "drained",
         ShutdownTimeout = "shutdown-timeout",
-        EndedAtOnce = "ended-at-once",
+        ShutdownForced = "shutdown-forced",
     }
 }
--- a/crates/chart/src/symbols/host.rs
+++ b/crates/chart/src/symbols/host.rs
@@ -17,10 +17,10 @@
 symbols! {
     /// Events of the chart `host`.
     HostEvent, EventId {
-        Heard = "heard",
-        Held = "held",
-        SilenceShort = "silence-short",
-        SilenceLong = "silence-long",
-        Goodbye = "goodbye",
+        HeartbeatReceived = "heartbeat-received",
+        Stabilized = "stabilized",
+        SuspectTimeout = "suspect-timeout",
+        SilenceTimeout = "silence-timeout",
+        LeaveAnnounced = "leave-announced",
     }
 }
--- a/crates/chart/src/symbols/upstream.rs
+++ b/crates/chart/src/symbols/upstream.rs
@@ -9,9 +9,9 @@
         Announced = "announced",
         Serving = "serving",
         Unreachable = "unreachable",
-        Silent = "silent",
+        Expired = "expired",
         Leaving = "leaving",
-        Gone = "gone",
+        Removed = "removed",
     }
 }
 
--- a/crates/chart/tests/charts.rs
+++ b/crates/chart/tests/charts.rs
@@ -60,7 +60,10 @@
         .expect_err("a request is admitted only once");
     insta::assert_snapshot!(error, @"unexpected event admitted in state waiting of chart request");
     expect_that!(machine.is(RequestState::Waiting), eq(true));
-    expect_that!(machine.fire(RequestEvent::CallerGone).is_ok(), eq(true));
+    expect_that!(
+        machine.fire(RequestEvent::CallerDisconnected).is_ok(),
+        eq(true)
+    );
     expect_that!(machine.is_final(), eq(true));
     expect_that!(
         machine.fire(RequestEvent::Admitted),
--- a/crates/fabric/src/endpoint.rs
+++ b/crates/fabric/src/endpoint.rs
@@ -70,11 +70,11 @@
 
 /// A handle of an address that is redialled until the handle is dropped.
 #[derive(Debug)]
-pub struct Dialed {
+pub struct DialHandle {
     task: JoinHandle<()>,
 }
 
-impl Drop for Dialed {
+impl Drop for DialHandle {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -132,7 +132,7 @@
 
     /// Maintains a connection to the process `expected`, redialling after each disconnection.
     #[must_use]
-    pub fn dial(&self, address: SocketAddr, expected: PeerId) -> Dialed {
+    pub fn dial(&self, address: SocketAddr, expected: PeerId) -> DialHandle {
         let is_expected = move |peer: &PeerId| *peer == expected;
         self.dial_if(address, is_expected)
     }
@@ -143,11 +143,11 @@
         &self,
         address: SocketAddr,
         accepts: impl Fn(&PeerId) -> bool + Send + Sync + 'static,
-    ) -> Dialed {
+    ) -> DialHandle {
         let task = self
             .runtime
             .spawn(dial_loop(Arc::clone(&self.shared), address, accepts));
-        Dialed { task }
+        DialHandle { task }
     }
 
     /// Closes every connection and stops accepting.
--- a/crates/fabric/src/lib.rs
+++ b/crates/fabric/src/lib.rs
@@ -17,7 +17,7 @@
 mod peer;
 
 pub use credentials::{Credentials, CredentialsError};
-pub use endpoint::{Dialed, Endpoint, EndpointError, Traffic};
+pub use endpoint::{DialHandle, Endpoint, EndpointError, Traffic};
 pub use event::{Event, LinkId};
 pub use frames::{FrameError, read_frame, write_frame};
 pub use keys::{Authority, IssuedKey, KeysError};
--- a/crates/fabric/tests/identity.rs
+++ b/crates/fabric/tests/identity.rs
@@ -64,7 +64,7 @@
         &Authority::generate().unwrap(),
         &peer(Role::Control, "c2"),
     );
-    let _dialed = foreign.dial(server.address().unwrap(), control);
+    let _dial = foreign.dial(server.address().unwrap(), control);
     expect_that!(wait_refused(&server), gt(0));
     expect_that!(events.try_recv(), err(anything()));
 }
@@ -78,7 +78,7 @@
     let control = peer(Role::Control, "c1");
     let (server, server_events) = endpoint(&runtime, &authority, &control);
     let (client, client_events) = endpoint(&runtime, &authority, &peer(Role::Sidecar, "s1"));
-    let _dialed = client.dial(server.address().unwrap(), control);
+    let _dial = client.dial(server.address().unwrap(), control);
     let Ok(Event::Up { tx, .. }) = client_events.recv_timeout(TIMEOUT) else {
         panic!("the connection is not established");
     };
@@ -100,7 +100,7 @@
     let authority = Authority::generate().unwrap();
     let (server, _events) = endpoint(&runtime, &authority, &peer(Role::Control, "c1"));
     let (client, client_events) = endpoint(&runtime, &authority, &peer(Role::Sidecar, "s1"));
-    let _dialed = client.dial(server.address().unwrap(), peer(Role::Control, "c2"));
+    let _dial = client.dial(server.address().unwrap(), peer(Role::Control, "c2"));
     expect_that!(
         client_events.recv_timeout(Duration::from_millis(500)),
         err(anything())
--- a/crates/fakes/src/completion.rs
+++ b/crates/fakes/src/completion.rs
@@ -273,8 +273,8 @@
     let waiting = job.engine.slots.occupancy().waiting;
     let mut state = job.engine.lock();
     state.stats.started += 1;
-    state.stats.waited += waited;
-    state.stats.most_waiting = state.stats.most_waiting.max(waiting);
+    state.stats.total_wait += waited;
+    state.stats.max_waiting = state.stats.max_waiting.max(waiting);
     *state.runs.entry(job.prompt_id).or_default() += 1;
     let resumed = has_cache && job.first > 0;
     state.stats.resumed += u64::from(job.first > 0);
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -90,8 +90,8 @@
         Latency {
             first_token: self.cfg.first_token.mul_f64(slowdown),
             per_prompt_token: self.cfg.per_prompt_token.mul_f64(slowdown),
-            token: self.cfg.token.mul_f64(slowdown),
-            overfull_slowdown: self.cfg.overfull_slowdown,
+            time_per_token: self.cfg.time_per_token.mul_f64(slowdown),
+            queue_slowdown: self.cfg.queue_slowdown,
         }
     }
 
@@ -111,8 +111,8 @@
             slots: self.slots.size(),
             running: occupancy.running,
             waiting: occupancy.waiting,
-            busy: self.slots.busy(),
-            up: self.started.elapsed(),
+            busy_time: self.slots.busy_time(),
+            uptime: self.started.elapsed(),
             ..self.lock().stats
         }
     }
--- a/crates/fakes/src/engine_config.rs
+++ b/crates/fakes/src/engine_config.rs
@@ -22,9 +22,9 @@
     /// Prefill time per prompt token that is not in the prefix cache.
     pub per_prompt_token: Duration,
     /// Time between tokens.
-    pub token: Duration,
+    pub time_per_token: Duration,
     /// Relative slowdown of the batch per request that waits in the engine, divided by the slots.
-    pub overfull_slowdown: f64,
+    pub queue_slowdown: f64,
     /// Capacity of the prefix cache, in prefixes.
     pub prefix_capacity: usize,
     /// Capabilities that the engine announces and implements.
@@ -57,8 +57,8 @@
             slots: 8,
             first_token: Duration::from_millis(5),
             per_prompt_token: Duration::from_micros(10),
-            token: Duration::from_millis(2),
-            overfull_slowdown: 0.25,
+            time_per_token: Duration::from_millis(2),
+            queue_slowdown: 0.25,
             prefix_capacity: 64,
             capabilities: Capabilities {
                 resume: true,
@@ -87,13 +87,13 @@
     /// Requests currently waiting in the engine.
     pub waiting: u32,
     /// Maximum number of requests that waited at the same time.
-    pub most_waiting: u32,
+    pub max_waiting: u32,
     /// Time waited for a slot, summed over all requests.
-    pub waited: Duration,
+    pub total_wait: Duration,
     /// Time in use, summed over all slots.
-    pub busy: Duration,
+    pub busy_time: Duration,
     /// Time since the engine started.
-    pub up: Duration,
+    pub uptime: Duration,
     /// Requests that entered the batch.
     pub started: u64,
     /// Completed requests.
--- a/crates/fakes/src/latency.rs
+++ b/crates/fakes/src/latency.rs
@@ -12,8 +12,8 @@
 pub(crate) struct Latency {
     pub(crate) first_token: Duration,
     pub(crate) per_prompt_token: Duration,
-    pub(crate) token: Duration,
-    pub(crate) overfull_slowdown: f64,
+    pub(crate) time_per_token: Duration,
+    pub(crate) queue_slowdown: f64,
 }
 
 impl Latency {
@@ -22,7 +22,7 @@
     /// Models the preemption and recomputation of a real engine that is short of cache memory.
     fn queue_factor(&self, occupancy: Occupancy, slots: u32) -> f64 {
         let waiting_per_slot = f64::from(occupancy.waiting) / f64::from(slots.max(1));
-        1.0 + self.overfull_slowdown * waiting_per_slot.min(MAX_WAITING_PER_SLOT)
+        1.0 + self.queue_slowdown * waiting_per_slot.min(MAX_WAITING_PER_SLOT)
     }
 
     /// Time from entering the batch to the first token; a cached prompt needs no prefill.
@@ -40,6 +40,7 @@
 
     /// Time between tokens.
     pub(crate) fn between_tokens(&self, occupancy: Occupancy, slots: u32) -> Duration {
-        self.token.mul_f64(self.queue_factor(occupancy, slots))
+        self.time_per_token
+            .mul_f64(self.queue_factor(occupancy, slots))
     }
 }
--- a/crates/fakes/src/order_config.rs
+++ b/crates/fakes/src/order_config.rs
@@ -59,9 +59,9 @@
     /// Calls currently waiting.
     pub waiting: u32,
     /// Time in use, summed over all slots.
-    pub busy: Duration,
+    pub busy_time: Duration,
     /// Time since the service started.
-    pub up: Duration,
+    pub uptime: Duration,
     /// Calls of any kind.
     pub calls: u64,
     /// Bookings made.
--- a/crates/fakes/src/order_service.rs
+++ b/crates/fakes/src/order_service.rs
@@ -64,8 +64,8 @@
             slots: self.slots.size(),
             running: occupancy.running,
             waiting: occupancy.waiting,
-            busy: self.slots.busy(),
-            up: self.started.elapsed(),
+            busy_time: self.slots.busy_time(),
+            uptime: self.started.elapsed(),
             ..self.lock().stats
         }
     }
--- a/crates/fakes/src/slots.rs
+++ b/crates/fakes/src/slots.rs
@@ -34,7 +34,7 @@
     size: u32,
     free: Arc<Semaphore>,
     waiting: Arc<AtomicU32>,
-    busy: Arc<Mutex<BusyTime>>,
+    busy_time: Arc<Mutex<BusyTime>>,
 }
 
 /// Counts a waiting request until dropped, also when its caller disconnects.
@@ -55,7 +55,7 @@
 
 impl Slots {
     pub(crate) fn new(size: u32) -> Self {
-        let busy = BusyTime {
+        let busy_time = BusyTime {
             running: 0,
             total: Duration::ZERO,
             updated_at: Instant::now(),
@@ -64,12 +64,14 @@
             size,
             free: Arc::new(Semaphore::new(size as usize)),
             waiting: Arc::default(),
-            busy: Arc::new(Mutex::new(busy)),
+            busy_time: Arc::new(Mutex::new(busy_time)),
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, BusyTime> {
-        self.busy.lock().unwrap_or_else(PoisonError::into_inner)
+        self.busy_time
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Acquires a slot, waiting until one is free.
@@ -101,7 +103,7 @@
     }
 
     /// Time in use, summed over all slots.
-    pub(crate) fn busy(&self) -> Duration {
+    pub(crate) fn busy_time(&self) -> Duration {
         let mut busy = self.lock();
         busy.update();
         busy.total
--- a/crates/fakes/tests/engine.rs
+++ b/crates/fakes/tests/engine.rs
@@ -115,7 +115,7 @@
     });
     let stats = engine.stats();
     expect_that!(stats.finished, eq(6));
-    expect_that!(stats.most_waiting, ge(1));
+    expect_that!(stats.max_waiting, ge(1));
     expect_that!(stats.running + stats.waiting, eq(0));
 }
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -132,14 +132,14 @@
         if self.is(HostState::Silent) {
             self.heard_since = now;
         }
-        self.fire(HostEvent::Heard);
+        self.fire(HostEvent::HeartbeatReceived);
         if !self.is(HostState::Returning) {
             return None;
         }
         if self.profile.is_none() || now < self.heard_since + self.flaps.hold() {
             return None;
         }
-        self.fire(HostEvent::Held);
+        self.fire(HostEvent::Stabilized);
         self.flaps.list(now);
         Some(MemberEventKind::Present)
     }
@@ -149,13 +149,13 @@
         let silence = now.saturating_sub(self.heard);
         let was_listed = self.is_listed();
         if was_listed && silence >= timing.silent_after {
-            self.fire(HostEvent::SilenceLong);
+            self.fire(HostEvent::SilenceTimeout);
             if !self.leaving {
                 self.flaps.add(now);
             }
             return Some(MemberEventKind::Silent);
         }
-        if silence < timing.suspect_after || !self.fire(HostEvent::SilenceShort) {
+        if silence < timing.suspect_after || !self.fire(HostEvent::SuspectTimeout) {
             return None;
         }
         // A gap while it is being watched starts the watch anew, and nobody needs to know.
@@ -164,7 +164,7 @@
 
     /// Notes that the host has left.
     pub(crate) fn leave(&mut self) {
-        self.fire(HostEvent::Goodbye);
+        self.fire(HostEvent::LeaveAnnounced);
     }
 
     /// When a host that is gone was heard last.
--- a/examples/slopes/fleets.rs
+++ b/examples/slopes/fleets.rs
@@ -32,7 +32,7 @@
 pub(crate) fn start(size: &Size) -> Result<Fleet, FleetError> {
     let engine = |number: usize| EngineConfig {
         slots: size.slots,
-        token: size.token,
+        time_per_token: size.token,
         ..EngineConfig::new(format!("spec-llm-{number}"), "spec-llm")
     };
     let account = |number| AccountPlan {
--- a/examples/slopes/roles.rs
+++ b/examples/slopes/roles.rs
@@ -175,11 +175,11 @@
 fn start_with(
     accounts: usize,
     engines: u32,
-    token: Duration,
+    time_per_token: Duration,
 ) -> Result<(Daemons, Manifest), Box<dyn Error>> {
     let engine = |number: u32| EngineConfig {
         slots: 512,
-        token,
+        time_per_token,
         ..EngineConfig::new(format!("spec-llm-{number}"), "spec-llm")
     };
     let daemons = Daemons::start((0..engines).map(engine).collect())?;
--- a/src/coltsfootnotch/daemon/control/daemon/mod.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_consensus::{Core, MemberId, Recovered, RoleKind, Term};
-use coltsfootnotch_fabric::{Dialed, Endpoint, PeerId};
+use coltsfootnotch_fabric::{DialHandle, Endpoint, PeerId};
 use coltsfootnotch_membership::RelayId;
 use coltsfootnotch_state::StateMachine;
 use coltsfootnotch_types::prelude::*;
@@ -60,7 +60,7 @@
     pub(super) disk: Disk,
     pub(super) links: Links,
     /// The listed control hosts are dialled until these are dropped.
-    _dialed: Vec<Dialed>,
+    _dials: Vec<DialHandle>,
     /// Addresses dialled by discovery.
     pub(super) dials: ControlDials,
     /// Present only if hosts discover each other.
@@ -102,7 +102,7 @@
             Seeded::new(now, discovery)
         });
         let local = cfg.members.iter().find(|m| m.host == me);
-        let dialed = cfg.peers(&me).map(|m| dial(&endpoint, m)).collect();
+        let dials = cfg.peers(&me).map(|m| dial(&endpoint, m)).collect();
         let core = Core::new(cfg.core.clone(), recovered, now, &mut rand::rng());
         Self {
             replica: Replica::new(core, cfg.batch_ledger),
@@ -114,7 +114,7 @@
             endpoint,
             disk,
             links: Links::default(),
-            _dialed: dialed,
+            _dials: dials,
             dials: ControlDials::default(),
             seeded,
             bootstrap: Bootstrap::new(hello),
@@ -291,7 +291,7 @@
     }
 }
 
-fn dial(endpoint: &Endpoint, member: &ControlAddress) -> Dialed {
+fn dial(endpoint: &Endpoint, member: &ControlAddress) -> DialHandle {
     let peer = PeerId {
         role: Role::Control,
         host: member.host.clone(),
--- a/src/coltsfootnotch/daemon/entry/arrivals.rs
+++ b/src/coltsfootnotch/daemon/entry/arrivals.rs
@@ -81,7 +81,8 @@
             }
             _ => {}
         }
-        self.requests.fire(request, RequestEvent::CallerGone);
+        self.requests
+            .fire(request, RequestEvent::CallerDisconnected);
         self.requests.remove(request);
     }
 
--- a/src/coltsfootnotch/daemon/entry/doubts.rs
+++ b/src/coltsfootnotch/daemon/entry/doubts.rs
@@ -39,7 +39,7 @@
         let here = attempt.entry == self.cx.identity.incarnation;
         if here && self.requests.get(attempt.request).is_some() {
             let refusal = Refusal::unknown(RefusalKind::InProgress).retry_after(DOUBT_RETRY);
-            self.requests.fire(request, RequestEvent::OpenElsewhere);
+            self.requests.fire(request, RequestEvent::OtherAttemptOpen);
             return self.finish_failed(request, refusal);
         }
         let reachable = self.sidecars.run_of(&sidecar.host) == Some(sidecar.incarnation);
@@ -49,7 +49,7 @@
             sidecar: sidecar.clone(),
             until: self.cx.now() + SETTLE_WITHIN,
         };
-        self.requests.fire(request, RequestEvent::OpenElsewhere);
+        self.requests.fire(request, RequestEvent::OtherAttemptOpen);
         self.set_stage(request, Stage::Settling(Box::new(settling)));
         if reachable {
             self.sidecars
@@ -112,7 +112,7 @@
             return self.give_up_settling(request);
         }
         let waiting = settling.waiting.clone();
-        in_progress.fire(RequestEvent::SettledNotRun);
+        in_progress.fire(RequestEvent::ResolvedNotRun);
         self.wait_again(request, waiting);
     }
 
--- a/src/coltsfootnotch/daemon/entry/outcomes.rs
+++ b/src/coltsfootnotch/daemon/entry/outcomes.rs
@@ -31,7 +31,7 @@
             return self.give_back(&chosen);
         };
         let Some(key) = &in_progress.arrival.booking else {
-            self.requests.fire(request, RequestEvent::Begun);
+            self.requests.fire(request, RequestEvent::AttemptSent);
             return self.start_attempt(chosen);
         };
         let op = bookings::intent(&in_progress.arrival.account, key, &chosen);
@@ -268,7 +268,7 @@
         };
         in_progress.failed_on.extend(upstream);
         if delivered {
-            in_progress.fire(RequestEvent::AnswerBegun);
+            in_progress.fire(RequestEvent::AnswerStarted);
         }
         let attempt = FailedAttempt {
             repeatable: in_progress.arrival.booking.is_none(),
--- a/src/coltsfootnotch/daemon/entry/sidecars.rs
+++ b/src/coltsfootnotch/daemon/entry/sidecars.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use coltsfootnotch_fabric::{Dialed, Endpoint, LinkId, LinkTx, PeerId};
+use coltsfootnotch_fabric::{DialHandle, Endpoint, LinkId, LinkTx, PeerId};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{HostRecord, Message, ToSidecar};
 use tokio::sync::watch;
@@ -11,7 +11,7 @@
 
 struct Connection {
     record: HostRecord,
-    _dialed: Dialed,
+    _dial: DialHandle,
     link: Option<LinkId>,
     state: watch::Sender<Option<(Incarnation, LinkTx)>>,
 }
@@ -41,7 +41,7 @@
         };
         let connection = Connection {
             record: record.clone(),
-            _dialed: endpoint.dial(record.address, peer),
+            _dial: endpoint.dial(record.address, peer),
             link: None,
             state: watch::Sender::new(None),
         };
--- a/src/coltsfootnotch/daemon/lifecycle.rs
+++ b/src/coltsfootnotch/daemon/lifecycle.rs
@@ -52,7 +52,7 @@
         if self.is_stopping() {
             return false;
         }
-        self.fire(DaemonEvent::ShutdownAsked);
+        self.fire(DaemonEvent::ShutdownRequested);
         self.stop_at = Some(self.cx.now() + self.shutdown);
         self.cx
             .log(&events::SHUTDOWN_STARTED, &[("in_progress", &in_progress)]);
--- a/src/coltsfootnotch/daemon/relay_client.rs
+++ b/src/coltsfootnotch/daemon/relay_client.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_fabric::{Dialed, Endpoint, LinkId, LinkTx, PeerId};
+use coltsfootnotch_fabric::{DialHandle, Endpoint, LinkId, LinkTx, PeerId};
 use coltsfootnotch_manifest::{ConfigIndex, Manifest, ManifestDelta};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{
@@ -72,7 +72,7 @@
     cx: HostCx,
     relays: Vec<ControlAddress>,
     at: usize,
-    dialed: Option<Dialed>,
+    dial: Option<DialHandle>,
     dialed_since: Duration,
     current: Option<Current>,
     directory: BTreeMap<HostName, HostRecord>,
@@ -97,7 +97,7 @@
             cx,
             relays,
             at: 0,
-            dialed: None,
+            dial: None,
             dialed_since: Duration::ZERO,
             current: None,
             directory: BTreeMap::new(),
@@ -270,7 +270,7 @@
         if let Some(current) = self.current.take() {
             current.tx.close();
         }
-        self.dialed = None;
+        self.dial = None;
         self.without_quorum = None;
         self.changed_at = now;
         self.at = (self.at + 1) % self.relays.len().max(1);
@@ -278,10 +278,10 @@
 
     fn look_for_relay(&mut self, endpoint: &Endpoint, now: Duration) {
         let patient = now < self.dialed_since + RELAY_PATIENCE;
-        if self.relays.is_empty() || (self.dialed.is_some() && patient) {
+        if self.relays.is_empty() || (self.dial.is_some() && patient) {
             return;
         }
-        if self.dialed.is_some() {
+        if self.dial.is_some() {
             self.at = (self.at + 1) % self.relays.len();
         }
         let relay = &self.relays[self.at];
@@ -289,7 +289,7 @@
             role: Role::Control,
             host: relay.host.clone(),
         };
-        self.dialed = Some(endpoint.dial(relay.address, peer));
+        self.dial = Some(endpoint.dial(relay.address, peer));
         self.dialed_since = now;
     }
 
--- a/src/coltsfootnotch/daemon/sidecar/upstreams.rs
+++ b/src/coltsfootnotch/daemon/sidecar/upstreams.rs
@@ -115,7 +115,7 @@
             }
             let known_down = upstream.machine.is(UpstreamState::Unreachable);
             upstream.fire(UpstreamEvent::AnnouncementExpired);
-            if !known_down && upstream.machine.is(UpstreamState::Silent) {
+            if !known_down && upstream.machine.is(UpstreamState::Expired) {
                 silent.push(name.clone());
             }
             false
--- a/src/coltsfootnotch/daemon/start.rs
+++ b/src/coltsfootnotch/daemon/start.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::mpsc;
 
-use coltsfootnotch_chart::ChartFindings;
+use coltsfootnotch_chart::ChartErrors;
 use coltsfootnotch_fabric::{CredentialsError, EndpointError};
 use coltsfootnotch_manifest::ControlHost;
 use coltsfootnotch_types::prelude::*;
@@ -41,7 +41,7 @@
     Credentials(CredentialsError),
     /// A state chart in the program is not valid.
     #[display("a state chart is not valid")]
-    Charts(ChartFindings),
+    Charts(ChartErrors),
     /// A listener or thread can't be made.
     #[display("a listener or thread can't be started")]
     Io(std::io::Error),
--- a/src/coltsfootnotch/ops/load/embedded.rs
+++ b/src/coltsfootnotch/ops/load/embedded.rs
@@ -115,7 +115,7 @@
         name: format!("{}-{number}", template.pool),
         slots,
         first_token: FIRST_TOKEN,
-        token: TOKEN,
+        time_per_token: TOKEN,
         seed: number as u64,
         ..template.clone()
     }
--- a/src/coltsfootnotch/ops/load/hop.rs
+++ b/src/coltsfootnotch/ops/load/hop.rs
@@ -262,7 +262,10 @@
     fleet.throughput(opts)?;
     direct.throughput(opts)?;
     progress("memory of open streams");
-    let token = target.engines.iter().map(|engine| engine.config().token);
+    let token = target
+        .engines
+        .iter()
+        .map(|engine| engine.config().time_per_token);
     let token = token.min().unwrap_or(Duration::from_millis(1));
     fleet.memory(opts, token)?;
     direct.memory(opts, token)?;
--- a/src/coltsfootnotch/ops/load/run.rs
+++ b/src/coltsfootnotch/ops/load/run.rs
@@ -121,7 +121,7 @@
     let (wait_ms, first_token_ms) = recorder.with_times(times);
     let gap = recorder.gap();
     let engines = target.engines.iter().map(|engine| engine.stats());
-    let inside = engines.clone().map(|stats| stats.most_waiting).max();
+    let inside = engines.clone().map(|stats| stats.max_waiting).max();
     Summary {
         scenario: opts.scenario.to_string(),
         policy: target.policy.clone(),
@@ -160,7 +160,7 @@
 
 fn mean_wait_inside(target: &Target<'_>) -> f64 {
     let stats = target.engines.iter().map(|engine| engine.stats());
-    let waited: Duration = stats.clone().map(|stats| stats.waited).sum();
+    let waited: Duration = stats.clone().map(|stats| stats.total_wait).sum();
     let started: u64 = stats.map(|stats| stats.started).sum();
     1000.0 * waited.as_secs_f64() / started.max(1) as f64
 }
@@ -173,7 +173,10 @@
         let answer = u64::from(*plan.answer_tokens.end());
         weights.service(prompt, answer)
     };
-    let per_token = target.engines.iter().map(|engine| engine.config().token);
+    let per_token = target
+        .engines
+        .iter()
+        .map(|engine| engine.config().time_per_token);
     let fastest = per_token.min().unwrap_or(Duration::MAX).as_secs_f64();
     let slot_rate = (f64::from(weights.output) / fastest).ceil() as u64;
     let bound = FairnessBound {
--- a/src/coltsfootnotch/ops/load/target.rs
+++ b/src/coltsfootnotch/ops/load/target.rs
@@ -62,6 +62,9 @@
     /// Slot time that the stand-in engines have used so far.
     #[must_use]
     pub fn busy(&self) -> Duration {
-        self.engines.iter().map(|engine| engine.stats().busy).sum()
+        self.engines
+            .iter()
+            .map(|engine| engine.stats().busy_time)
+            .sum()
     }
 }
--- a/src/coltsfootnotch/ops/operator_client.rs
+++ b/src/coltsfootnotch/ops/operator_client.rs
@@ -11,7 +11,7 @@
 use std::sync::{Mutex, PoisonError, mpsc};
 use std::time::{Duration, Instant};
 
-use coltsfootnotch_fabric::{Credentials, Dialed, Endpoint, EndpointError, PeerId};
+use coltsfootnotch_fabric::{Credentials, DialHandle, Endpoint, EndpointError, PeerId};
 use coltsfootnotch_manifest::Manifest;
 use coltsfootnotch_state::{ApplyConfig, BodyDigest, Op, Reply};
 use coltsfootnotch_types::prelude::*;
@@ -79,7 +79,7 @@
 pub struct OperatorClient {
     links: Mutex<Links>,
     next_id: AtomicU64,
-    _dialed: Vec<Dialed>,
+    _dials: Vec<DialHandle>,
     _endpoint: Endpoint,
 }
 
@@ -109,7 +109,7 @@
             };
             endpoint.dial(known.address, peer)
         };
-        let dialed = control.iter().map(dial).collect();
+        let dials = control.iter().map(dial).collect();
         let mut links = Links::new(events);
         if !links.wait_for_one(patience) {
             return Err(OperatorError::NoControl);
@@ -117,7 +117,7 @@
         Ok(Self {
             links: Mutex::new(links),
             next_id: AtomicU64::new(1),
-            _dialed: dialed,
+            _dials: dials,
             _endpoint: endpoint,
         })
     }
--- a/tests/testsuite/control/client.rs
+++ b/tests/testsuite/control/client.rs
@@ -5,7 +5,7 @@
 
 use coltsfootnotch::core::{decode_reply, encode_op};
 use coltsfootnotch::daemon::ControlAddress;
-use coltsfootnotch_fabric::{Credentials, Dialed, Endpoint, Event, LinkTx, PeerId};
+use coltsfootnotch_fabric::{Credentials, DialHandle, Endpoint, Event, LinkTx, PeerId};
 use coltsfootnotch_manifest::{KeyHash, Manifest};
 use coltsfootnotch_state::{ApplyConfig, BodyDigest, ConfigReply, Op, Reply};
 use coltsfootnotch_types::prelude::*;
@@ -26,7 +26,7 @@
     beats: u64,
     /// Other messages received by [`Self::wait_for`].
     pub(crate) seen: Vec<FromRelay>,
-    _dialed: Dialed,
+    _dial: DialHandle,
     _endpoint: Endpoint,
 }
 
@@ -48,7 +48,7 @@
             role: Role::Control,
             host: member.host.clone(),
         };
-        let dialed = endpoint.dial(member.address, control);
+        let dial = endpoint.dial(member.address, control);
         let tx = loop {
             if let Event::Up { tx, .. } = events.recv_timeout(TIMEOUT).expect("a connection") {
                 break tx;
@@ -62,7 +62,7 @@
             id: 0,
             beats: 0,
             seen: Vec::new(),
-            _dialed: dialed,
+            _dial: dial,
             _endpoint: endpoint,
         }
     }
--- a/tests/testsuite/processes/resume.rs
+++ b/tests/testsuite/processes/resume.rs
@@ -23,7 +23,7 @@
     let fleet = Fleet::start(Plan {
         entries: 1,
         engines: vec![EngineConfig {
-            token: Duration::from_millis(15),
+            time_per_token: Duration::from_millis(15),
             ..EngineConfig::new("spec-llm-1", "spec-llm")
         }],
         services: vec![],
--- a/tests/testsuite/processes/sidecar_loss.rs
+++ b/tests/testsuite/processes/sidecar_loss.rs
@@ -17,7 +17,7 @@
     Plan {
         entries: 1,
         engines: vec![EngineConfig {
-            token: Duration::from_millis(15),
+            time_per_token: Duration::from_millis(15),
             slots: 2,
             ..EngineConfig::new("spec-llm-1", "spec-llm")
         }],
--- a/tests/testsuite/processes/stops.rs
+++ b/tests/testsuite/processes/stops.rs
@@ -16,7 +16,7 @@
 /// An engine that takes its time between tokens.
 fn slow_engine(number: usize) -> EngineConfig {
     EngineConfig {
-        token: Duration::from_millis(15),
+        time_per_token: Duration::from_millis(15),
         ..EngineConfig::new(format!("spec-llm-{number}"), "spec-llm")
     }
 }
@@ -97,7 +97,7 @@
 #[test]
 fn a_planned_stop_waits_for_a_slow_reader() {
     let engine = EngineConfig {
-        token: Duration::ZERO,
+        time_per_token: Duration::ZERO,
         ..EngineConfig::new("spec-llm-1", "spec-llm")
     };
     let mut fleet = Fleet::start(Plan {
