--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -33,7 +33,7 @@
     pub(crate) models: Vec<String>,
     pub(crate) role: Option<String>,
     pub(crate) fence: u64,
-    /// How often each prompt entered the batch. Unbounded: fakes serve only tests and load runs.
+    /// How often each prompt entered the batch. Unbounded, since the caller bounds a run.
     pub(crate) runs: HashMap<u64, u32>,
     slowdown: f64,
     leaving: bool,
--- a/crates/fakes/src/engine_orders.rs
+++ b/crates/fakes/src/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Handlers of a fake engine for orders and for attempts by id.
+//! Handlers of a fake engine for orders, and for attempts by id.
 
 use std::sync::Arc;
 
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -7,8 +7,8 @@
 //!
 //! Every thread belongs to a handle and is joined by `stop`.
 //!
-//! The fakes use `hyper` rather than `tiny_http`, since simulating a crash requires dropping
-//! connections in the middle of a response.
+//! The fakes use `hyper`, since a simulated crash must drop connections in the middle of a response.
+//! `tiny_http` gives no access to its sockets, and its thread pool can stall simultaneous connections.
 
 mod announcer;
 mod answer;
