--- a/crates/chart/src/charts.rs
+++ b/crates/chart/src/charts.rs
@@ -1,28 +1,28 @@
-//! The charts embedded in the program.
+//! The embedded charts.
 
 use std::sync::Arc;
 
 use crate::{
-    Chart, ChartFindings, ControlMemberEvent, ControlMemberState, DaemonEvent, DaemonState,
+    Chart, ChartErrors, ControlMemberEvent, ControlMemberState, DaemonEvent, DaemonState,
     HostEvent, HostState, RequestEvent, RequestState, UpstreamEvent, UpstreamState,
 };
 
-/// Every embedded chart; loaded once when a process starts and handed to what needs them.
+/// All embedded charts, loaded once at process start.
 #[derive(Debug, Clone)]
 pub struct Charts {
-    /// One request at its entry host.
+    /// A request at its entry host.
     pub request: Arc<Chart>,
-    /// One upstream at the sidecar beside it.
+    /// An upstream at its sidecar.
     pub upstream: Arc<Chart>,
-    /// One run of a host at the relay of its failure domain.
+    /// An incarnation of a host at the relay of its failure domain.
     pub host: Arc<Chart>,
-    /// One member of the control group.
+    /// A member of the control group.
     pub control_member: Arc<Chart>,
-    /// One daemon process.
+    /// A daemon process.
     pub daemon: Arc<Chart>,
 }
 
-/// Names of a chart in the order of its enumeration.
+/// The names of an enumeration in declaration order.
 macro_rules! names {
     ($symbols:ty) => {
         <$symbols>::ALL.iter().map(|symbol| symbol.as_str())
@@ -33,15 +33,14 @@
     /// Parses and checks the embedded files.
     ///
     /// # Errors
-    /// Returns what is wrong with any of them, a name that differs from its enumeration included. A
-    /// program that was built with its tests passing never sees this.
+    /// Returns the problems of an embedded chart, including names that differ from its enumeration.
     ///
     /// ```
     /// let charts = coltsfootnotch_chart::Charts::load()?;
     /// assert_eq!(charts.host.name(), "host");
-    /// # Ok::<(), coltsfootnotch_chart::ChartFindings>(())
+    /// # Ok::<(), coltsfootnotch_chart::ChartErrors>(())
     /// ```
-    pub fn load() -> Result<Self, ChartFindings> {
+    pub fn load() -> Result<Self, ChartErrors> {
         let request = load(
             include_str!("../charts/request.json"),
             names!(RequestState),
@@ -81,29 +80,23 @@
     text: &str,
     states: impl Iterator<Item = &'static str>,
     events: impl Iterator<Item = &'static str>,
-) -> Result<Arc<Chart>, ChartFindings> {
+) -> Result<Arc<Chart>, ChartErrors> {
     let chart = Chart::parse(text)?;
-    let mut findings = ChartFindings::default();
-    findings.extend(chart.name(), chart.check());
+    let mut errors = ChartErrors::default();
+    errors.extend(chart.name(), chart.check());
     if !chart
         .state_ids()
         .map(|state| chart.state_name(state))
         .eq(states)
     {
-        findings.add(
-            chart.name(),
-            "its states differ from the enumeration of its states",
-        );
+        errors.add(chart.name(), "the states differ from the state enumeration");
     }
     if !chart
         .event_ids()
         .map(|event| chart.event_name(event))
         .eq(events)
     {
-        findings.add(
-            chart.name(),
-            "its events differ from the enumeration of its events",
-        );
+        errors.add(chart.name(), "the events differ from the event enumeration");
     }
-    findings.or(Arc::new(chart))
+    errors.into_result(Arc::new(chart))
 }
--- a/crates/chart/src/symbols/control_member.rs
+++ b/crates/chart/src/symbols/control_member.rs
@@ -1,4 +1,4 @@
-//! Names of the chart `control-member` as enumerations; `charts/control-member.json` describes each.
+//! States and events of the chart `control-member`; `charts/control-member.json` describes them.
 
 use super::symbols;
 use crate::{EventId, StateId};
@@ -22,7 +22,7 @@
         Promoted = "promoted",
         Demoted = "demoted",
         Removed = "removed",
-        LeaderHeard = "leader-heard",
+        LeaderMessage = "leader-message",
         ElectionTimeout = "election-timeout",
         PreVoteWon = "pre-vote-won",
         VoteWon = "vote-won",
--- a/crates/chart/src/symbols/daemon.rs
+++ b/crates/chart/src/symbols/daemon.rs
@@ -1,4 +1,4 @@
-//! Names of the chart `daemon` as enumerations; `charts/daemon.json` describes each.
+//! States and events of the chart `daemon`; `charts/daemon.json` describes them.
 
 use super::symbols;
 use crate::{EventId, StateId};
@@ -17,9 +17,9 @@
     /// Events of the chart `daemon`.
     DaemonEvent, EventId {
         ConfigInForce = "config-in-force",
-        ShutdownAsked = "shutdown-asked",
+        ShutdownRequested = "shutdown-requested",
         Drained = "drained",
         ShutdownTimeout = "shutdown-timeout",
-        EndedAtOnce = "ended-at-once",
+        ShutdownForced = "shutdown-forced",
     }
 }
--- a/crates/chart/src/symbols/host.rs
+++ b/crates/chart/src/symbols/host.rs
@@ -1,4 +1,4 @@
-//! Names of the chart `host` as enumerations; `charts/host.json` describes each.
+//! States and events of the chart `host`; `charts/host.json` describes them.
 
 use super::symbols;
 use crate::{EventId, StateId};
@@ -17,10 +17,10 @@
 symbols! {
     /// Events of the chart `host`.
     HostEvent, EventId {
-        Heard = "heard",
-        Held = "held",
-        SilenceShort = "silence-short",
-        SilenceLong = "silence-long",
-        Goodbye = "goodbye",
+        HeartbeatReceived = "heartbeat-received",
+        Stabilized = "stabilized",
+        SuspectTimeout = "suspect-timeout",
+        SilenceTimeout = "silence-timeout",
+        LeaveAnnounced = "leave-announced",
     }
 }
--- a/crates/chart/src/symbols/request.rs
+++ b/crates/chart/src/symbols/request.rs
@@ -1,4 +1,4 @@
-//! Names of the chart `request` as enumerations; `charts/request.json` describes each.
+//! States and events of the chart `request`; `charts/request.json` describes them.
 
 use super::symbols;
 use crate::{EventId, StateId};
@@ -8,10 +8,10 @@
     RequestState, StateId {
         Received = "received",
         Waiting = "waiting",
-        WaitingAgain = "waiting-again",
+        Requeued = "requeued",
         CommittingIntent = "committing-intent",
         Offered = "offered",
-        OfferedAgain = "offered-again",
+        Reoffered = "reoffered",
         Started = "started",
         Reconnecting = "reconnecting",
         Streaming = "streaming",
@@ -32,26 +32,26 @@
         Admitted = "admitted",
         Refused = "refused",
         Replayed = "replayed",
-        Begun = "begun",
+        AttemptSent = "attempt-sent",
         SlotChosen = "slot-chosen",
         IntentCommitted = "intent-committed",
         IntentRefused = "intent-refused",
-        OpenElsewhere = "open-elsewhere",
+        OtherAttemptOpen = "other-attempt-open",
         IntentUnknown = "intent-unknown",
         NotStarted = "not-started",
         Started = "started",
-        AnswerBegun = "answer-begun",
+        AnswerStarted = "answer-started",
         Finished = "finished",
         OutcomeReceived = "outcome-received",
         OutcomeCommitted = "outcome-committed",
         OutcomeUnknown = "outcome-unknown",
         OutcomeLost = "outcome-lost",
-        SettledNotRun = "settled-not-run",
+        ResolvedNotRun = "resolved-not-run",
         AttemptFailed = "attempt-failed",
         Retried = "retried",
         ConnectionLost = "connection-lost",
         ConnectionResumed = "connection-resumed",
-        CallerGone = "caller-gone",
+        CallerDisconnected = "caller-disconnected",
         DeadlinePassed = "deadline-passed",
     }
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -141,14 +141,14 @@
         if self.is(HostState::Silent) {
             self.steady_since = now;
         }
-        self.fire(HostEvent::Heard);
+        self.fire(HostEvent::HeartbeatReceived);
         if !self.is(HostState::Returning) {
             return None;
         }
         if self.profile.is_none() || now < self.steady_since + self.damping.hold_down() {
             return None;
         }
-        self.fire(HostEvent::Held);
+        self.fire(HostEvent::Stabilized);
         self.damping.on_listed(now);
         Some(MemberEventKind::Present)
     }
@@ -158,13 +158,13 @@
         let silence = now.saturating_sub(self.last_heartbeat);
         let was_listed = self.is_listed();
         if was_listed && silence >= timing.silent_after {
-            self.fire(HostEvent::SilenceLong);
+            self.fire(HostEvent::SilenceTimeout);
             if !self.leaving {
                 self.damping.add_flap(now);
             }
             return Some(MemberEventKind::Silent);
         }
-        if silence < timing.suspect_after || !self.fire(HostEvent::SilenceShort) {
+        if silence < timing.suspect_after || !self.fire(HostEvent::SuspectTimeout) {
             return None;
         }
         // A gap during hold-down only restarts it and is not reported.
@@ -173,7 +173,7 @@
 
     /// Records that the host has left.
     pub(crate) fn mark_left(&mut self) {
-        self.fire(HostEvent::Goodbye);
+        self.fire(HostEvent::LeaveAnnounced);
     }
 
     /// Time of the last heartbeat of a host that is gone.
--- a/src/coltsfootnotch/daemon/entry/attempts.rs
+++ b/src/coltsfootnotch/daemon/entry/attempts.rs
@@ -31,7 +31,7 @@
             return self.release_slot(&chosen);
         };
         let Some(key) = &active.req.ledger_key else {
-            self.requests.fire(request, RequestEvent::Begun);
+            self.requests.fire(request, RequestEvent::AttemptSent);
             return self.start_attempt(chosen);
         };
         let op = ledger_ops::intent(&active.req.account, key, &chosen);
@@ -271,7 +271,7 @@
         };
         active.failed_on.extend(upstream);
         if delivered {
-            active.fire(RequestEvent::AnswerBegun);
+            active.fire(RequestEvent::AnswerStarted);
         }
         let attempt = FailedAttempt {
             repeatable: active.req.ledger_key.is_none(),
--- a/src/coltsfootnotch/daemon/entry/unresolved.rs
+++ b/src/coltsfootnotch/daemon/entry/unresolved.rs
@@ -44,7 +44,7 @@
         let is_local = attempt.entry == self.cx.identity.incarnation;
         if is_local && self.requests.get(attempt.request).is_some() {
             let refusal = Refusal::unknown(RefusalKind::InProgress).retry_after(LEDGER_RETRY_AFTER);
-            self.requests.fire(request, RequestEvent::OpenElsewhere);
+            self.requests.fire(request, RequestEvent::OtherAttemptOpen);
             return self.finish_failed(request, refusal);
         }
         let reachable = self.sidecars.incarnation_of(&sidecar.host) == Some(sidecar.incarnation);
@@ -54,7 +54,7 @@
             sidecar: sidecar.clone(),
             deadline: self.cx.now() + RESOLVE_TIMEOUT,
         };
-        self.requests.fire(request, RequestEvent::OpenElsewhere);
+        self.requests.fire(request, RequestEvent::OtherAttemptOpen);
         self.set_stage(request, Stage::Resolving(Box::new(unresolved)));
         if reachable {
             self.sidecars
@@ -118,7 +118,7 @@
             return self.fail_unresolved(request);
         }
         let queued = unresolved.queued.clone();
-        active.fire(RequestEvent::SettledNotRun);
+        active.fire(RequestEvent::ResolvedNotRun);
         self.requeue(request, queued);
     }
 
--- a/src/coltsfootnotch/daemon/relay_client.rs
+++ b/src/coltsfootnotch/daemon/relay_client.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_fabric::{Dialed, Endpoint, LinkId, LinkTx, PeerId};
+use coltsfootnotch_fabric::{DialHandle, Endpoint, LinkId, LinkTx, PeerId};
 use coltsfootnotch_manifest::{ConfigIndex, Manifest, ManifestDelta};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{
@@ -72,7 +72,7 @@
     relays: Vec<ControlAddress>,
     /// Index in `relays` of the relay in use.
     relay_index: usize,
-    dialed: Option<Dialed>,
+    dial: Option<DialHandle>,
     dialed_since: Duration,
     connection: Option<Connection>,
     directory: BTreeMap<HostName, HostRecord>,
@@ -97,7 +97,7 @@
             cx,
             relays,
             relay_index: 0,
-            dialed: None,
+            dial: None,
             dialed_since: Duration::ZERO,
             connection: None,
             directory: BTreeMap::new(),
@@ -264,7 +264,7 @@
         if let Some(connection) = self.connection.take() {
             connection.tx.close();
         }
-        self.dialed = None;
+        self.dial = None;
         self.no_quorum_since = None;
         self.switched_at = now;
         self.relay_index = (self.relay_index + 1) % self.relays.len().max(1);
@@ -272,10 +272,10 @@
 
     fn dial_relay(&mut self, endpoint: &Endpoint, now: Duration) {
         let is_connecting = now < self.dialed_since + CONNECT_TIMEOUT;
-        if self.relays.is_empty() || (self.dialed.is_some() && is_connecting) {
+        if self.relays.is_empty() || (self.dial.is_some() && is_connecting) {
             return;
         }
-        if self.dialed.is_some() {
+        if self.dial.is_some() {
             self.relay_index = (self.relay_index + 1) % self.relays.len();
         }
         let relay = &self.relays[self.relay_index];
@@ -283,7 +283,7 @@
             role: Role::Control,
             host: relay.host.clone(),
         };
-        self.dialed = Some(endpoint.dial(relay.address, peer));
+        self.dial = Some(endpoint.dial(relay.address, peer));
         self.dialed_since = now;
     }
 
