--- a/src/coltsfootnotch/daemon/sidecar/orders/call.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/call.rs
@@ -1,4 +1,4 @@
-//! One order to an engine, over HTTP.
+//! Sends one order to an engine over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 use serde_json::{Map, Value};
 use ureq::Agent;
 
-/// An order that is to be sent.
+/// An order to send to an engine.
 #[derive(Debug, Clone)]
 pub struct OrderCall {
-    /// The engine.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// Number of the lease under which it is given.
+    /// Fencing number of the lease under which the order is sent.
     pub fence: FencingNumber,
-    /// What to do, such as `load`.
+    /// The operation, such as `load`.
     pub order: &'static str,
-    /// The key of `value`, such as `name`.
+    /// JSON key of `value`, such as `name`.
     pub key: &'static str,
-    /// What is loaded or unloaded, or the role.
+    /// Name of the version or adapter, or the role.
     pub value: String,
-    /// After this the order is aborted.
+    /// Time after which the order is aborted.
     pub timeout: Duration,
 }
 
 /// How an order ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum OrderEnd {
-    /// The engine has carried it out.
+    /// The engine has executed the order.
     #[display("done")]
     Done,
     /// The engine has seen a higher fencing number.
@@ -37,13 +37,13 @@
     /// The engine answered with another status.
     #[display("status {_0}")]
     Status(u16),
-    /// No answer came in time, or the engine can't be reached.
+    /// No response arrived in time, or the engine is unreachable.
     #[display("no answer")]
     NoAnswer,
 }
 
 impl OrderCall {
-    /// Sends the order and waits until it has ended; blocks the thread.
+    /// Sends the order and blocks the thread until it has finished.
     pub fn run(&self) -> OrderEnd {
         let agent: Agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -55,11 +55,11 @@
         body.insert("fence".into(), Value::from(self.fence.0));
         body.insert("order".into(), Value::from(self.order));
         body.insert(self.key.into(), Value::from(self.value.as_str()));
-        let sent = agent
+        let response = agent
             .post(format!("http://{}/v1/orders", self.address))
             .header("content-type", "application/json")
             .send(Value::Object(body).to_string());
-        match sent.map(|response| response.status().as_u16()) {
+        match response.map(|response| response.status().as_u16()) {
             Ok(200..=299) => OrderEnd::Done,
             Ok(409) => OrderEnd::OldNumber,
             Ok(status) => OrderEnd::Status(status),
--- a/src/coltsfootnotch/daemon/sidecar/orders/engine.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/engine.rs
@@ -1,4 +1,4 @@
-//! One engine: what it reports, what it shall have, and the order that comes next.
+//! Determines the next order to one engine from its reported and its desired placement.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,27 +9,26 @@
 use coltsfootnotch_wire::announce::Announcement;
 
 use super::call::OrderCall;
-use super::claim::{Choice, Claim, choices};
+use super::lease_claim::{LeaseCandidate, LeaseClaim, candidates};
 use super::lease_set::LeaseSet;
-use super::names::{as_order, orders_lease, permit_lease, placement};
-use super::places::Places;
+use super::names::{order_fields, orders_lease, permit_lease, reported_placement};
+use super::replica_leases::ReplicaLeases;
 use super::timing::{Load, Timing};
 
-/// Longest time by which an announcement lags behind what the engine has: as long as announcements
-/// hold, since an older one has expired.
+/// Maximum age of what an announcement reports; equals the time to live of announcements.
 const REPORT_LAG: Duration = Duration::from_secs(3);
-/// Pause after the first order that failed; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// Doublings of the pause: about a minute at most.
-const MOST_DOUBLINGS: u32 = 6;
+/// Backoff after the first failed order; doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum number of doublings, which bounds the backoff to about a minute.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// An order that was sent and has not ended.
+/// An order that was sent and has not finished.
 #[derive(Debug, Clone)]
-pub(super) struct Sent {
+pub(super) struct PendingOrder {
     pub(super) fence: FencingNumber,
     pub(super) action: Action,
     pub(super) name: String,
-    /// Whether it puts a version in the place of another.
+    /// Whether the order replaces a loaded version by another.
     pub(super) changes_version: bool,
 }
 
@@ -40,24 +39,25 @@
     pub(super) pool: PoolName,
     pub(super) lease: LeaseName,
     pub(super) address: SocketAddr,
-    pub(super) sent: Option<Sent>,
-    checks_numbers: bool,
+    pub(super) pending: Option<PendingOrder>,
+    checks_fencing: bool,
     listed: Vec<String>,
-    heard: Duration,
-    places: Places,
-    permit: Claim,
-    permit_for: (u64, u32),
-    /// Until when the permit is kept for the sake of the store's rate.
-    permit_until: Option<Duration>,
-    /// When this process was first granted the lease for orders.
+    announced_at: Duration,
+    replicas: ReplicaLeases,
+    permit: LeaseClaim,
+    /// Configuration number and number of permits from which the permit candidates were built.
+    permit_source: (u64, u32),
+    /// Time until which the permit is held to keep the rate of the weight store.
+    permit_held_until: Option<Duration>,
+    /// Time at which this process was first granted the order lease.
     first_granted: Option<Duration>,
-    /// What was carried out, and when, until reports have caught up.
-    done: Vec<(Duration, Action)>,
-    not_before: Duration,
+    /// Executed actions that announcements may not show yet, with their times.
+    unreported: Vec<(Duration, Action)>,
+    retry_at: Duration,
     failures: u32,
 }
 
-/// What one step of an engine looks at.
+/// Inputs of one step of an engine.
 pub(super) struct StepCx<'a> {
     pub(super) now: Duration,
     /// Number of the configuration in force.
@@ -73,85 +73,91 @@
             pool: announcement.pool.clone(),
             lease: orders_lease(&announcement.name),
             address: announcement.address,
-            sent: None,
-            checks_numbers: announcement.capabilities.fenced,
+            pending: None,
+            checks_fencing: announcement.capabilities.fenced,
             listed: announcement.models.clone(),
-            heard: now,
-            places: Places::default(),
-            permit: Claim::default(),
-            permit_for: (0, 0),
-            permit_until: None,
+            announced_at: now,
+            replicas: ReplicaLeases::default(),
+            permit: LeaseClaim::default(),
+            permit_source: (0, 0),
+            permit_held_until: None,
             first_granted: None,
-            done: Vec::new(),
-            not_before: Duration::ZERO,
+            unreported: Vec::new(),
+            retry_at: Duration::ZERO,
             failures: 0,
         }
     }
 
-    /// Takes in a later announcement.
-    pub(super) fn hear(&mut self, now: Duration, announcement: &Announcement) {
+    /// Handles a further announcement.
+    pub(super) fn on_announcement(&mut self, now: Duration, announcement: &Announcement) {
         if self.address != announcement.address {
-            // Another run of the engine, which has nothing of what the one before had loaded.
-            self.done.clear();
+            // The engine was restarted and has lost what it had loaded.
+            self.unreported.clear();
         }
         self.address = announcement.address;
-        self.checks_numbers = announcement.capabilities.fenced;
+        self.checks_fencing = announcement.capabilities.fenced;
         self.listed.clone_from(&announcement.models);
-        self.heard = now;
-        self.done.retain(|(at, _)| now < *at + REPORT_LAG);
+        self.announced_at = now;
+        self.unreported.retain(|(at, _)| now < *at + REPORT_LAG);
     }
 
-    /// The order to send now, if there is one; asks for the leases that it needs.
+    /// Returns the order to send now, if any, and requests the leases that it needs.
     pub(super) fn step(&mut self, cx: &StepCx<'_>, leases: &mut LeaseSet) -> Option<OrderCall> {
-        self.end_pace(cx.now, leases);
-        if self.sent.is_some() {
+        self.release_finished_permit(cx.now, leases);
+        if self.pending.is_some() {
             return None;
         }
         let engine = (&self.name, self.listed.as_slice());
-        let want = self
-            .places
-            .want(cx.now, cx.config, cx.model, engine, leases);
-        let has = want.as_ref().map(|want| self.has(cx.model, want));
-        let next = want
-            .zip(has)
-            .and_then(|(want, has)| Some((next_action(&want, &has)?, has)));
-        let Some((action, has)) = next.filter(|_| cx.now >= self.not_before) else {
-            self.rest(leases);
+        let desired = self
+            .replicas
+            .desired_placement(cx.now, cx.config, cx.model, engine, leases);
+        let current = desired
+            .as_ref()
+            .map(|desired| self.current_placement(cx.model, desired));
+        let next = desired
+            .zip(current)
+            .and_then(|(desired, current)| Some((next_action(&desired, &current)?, current)));
+        let Some((action, current)) = next.filter(|_| cx.now >= self.retry_at) else {
+            self.release_order_leases(leases);
             return None;
         };
-        let is_fenced = self.checks_numbers && cx.model.fenced;
-        let timing = Timing::new(cx.store, load_of(cx.model, &action), is_fenced);
+        let is_fenced = self.checks_fencing && cx.model.fenced;
+        let timing = Timing::new(cx.store, load_for(cx.model, &action), is_fenced);
         let loads = action.fetches().is_some();
-        if loads && self.is_settled() && !self.has_permit(cx, &timing, leases) {
-            leases.give_up(&self.lease);
+        if loads && self.is_report_current() && !self.has_permit(cx, &timing, leases) {
+            leases.release(&self.lease);
             return None;
         }
-        leases.want(&self.lease, timing.orders_ttl);
-        let fence = leases.number(&self.lease, cx.now)?;
+        leases.request(&self.lease, timing.order_lease_ttl);
+        let fence = leases.fencing_number(&self.lease, cx.now)?;
         self.first_granted.get_or_insert(cx.now);
         let guard = timing.guard(is_fenced);
-        if !self.is_settled() || !leases.may_order(&self.lease, cx.now, guard) {
+        if !self.is_report_current() || !leases.can_order(&self.lease, cx.now, guard) {
             return None;
         }
         if loads {
-            self.permit_until = Some(cx.now + timing.pace);
+            self.permit_held_until = Some(cx.now + timing.load_time);
         }
-        Some(self.send(cx, fence, action, &has, timing.timeout))
+        Some(self.start_order(cx, fence, action, &current, timing.timeout))
     }
 
-    fn send(
+    fn start_order(
         &mut self,
         cx: &StepCx<'_>,
         fence: FencingNumber,
         action: Action,
-        has: &Placement,
+        current: &Placement,
         timeout: Duration,
     ) -> OrderCall {
-        assert!(self.sent.is_none(), "{} gets two orders at once", self.name);
-        let (order, key, value) = as_order(cx.model.name.as_str(), &action, has);
+        assert!(
+            self.pending.is_none(),
+            "engine {} already has a pending order",
+            self.name
+        );
+        let (order, key, value) = order_fields(cx.model.name.as_str(), &action, current);
         let loads_version = matches!(action, Action::LoadModel { .. });
-        self.sent = Some(Sent {
-            changes_version: loads_version && has.model.is_some(),
+        self.pending = Some(PendingOrder {
+            changes_version: loads_version && current.model.is_some(),
             fence,
             action,
             name: value.clone(),
@@ -166,100 +172,101 @@
         }
     }
 
-    /// Whether reports show whatever an earlier process has ordered: the first lease of this one
-    /// began after the last order of those before, and a report was made since.
-    fn is_settled(&self) -> bool {
+    /// Whether the latest announcement shows all orders of earlier processes: it is newer than the
+    /// first grant of the order lease to this process, which follows the last of those orders.
+    fn is_report_current(&self) -> bool {
         self.first_granted
-            .is_some_and(|granted| self.heard >= granted + REPORT_LAG)
+            .is_some_and(|granted| self.announced_at >= granted + REPORT_LAG)
     }
 
-    fn has(&self, model: &Model, want: &Placement) -> Placement {
-        let mut has = placement(model, &self.listed, want);
+    fn current_placement(&self, model: &Model, desired: &Placement) -> Placement {
+        let mut current = reported_placement(model, &self.listed, desired);
         let unreported = self
-            .done
+            .unreported
             .iter()
-            .filter(|(at, _)| self.heard < *at + REPORT_LAG);
-        unreported.for_each(|(_, action)| action.carry_out(&mut has));
-        has
+            .filter(|(at, _)| self.announced_at < *at + REPORT_LAG);
+        unreported.for_each(|(_, action)| action.carry_out(&mut current));
+        current
     }
 
-    /// Whether a permit of the weight store is held that no earlier load of this engine still uses.
+    /// Whether a permit of the weight store is held and not used by an earlier load of this engine.
     fn has_permit(&mut self, cx: &StepCx<'_>, timing: &Timing, leases: &mut LeaseSet) -> bool {
-        let wanted = (cx.config, cx.store.loads);
-        if self.permit_for != wanted && self.permit_until.is_none() {
-            self.permit_for = wanted;
+        let source = (cx.config, cx.store.loads);
+        if self.permit_source != source && self.permit_held_until.is_none() {
+            self.permit_source = source;
             self.permit
-                .set_choices(permits(cx.store.loads, &self.name), leases);
+                .set_candidates(permits(cx.store.loads, &self.name), leases);
         }
         let held = self
             .permit
-            .poll(cx.now, timing.permit_ttl, timing.rest, leases);
-        held.is_some() && self.permit_until.is_none()
+            .poll(cx.now, timing.permit_ttl, timing.retry_delay, leases);
+        held.is_some() && self.permit_held_until.is_none()
     }
 
-    /// Gives the permit back once the store could have delivered the weights at its rate.
-    fn end_pace(&mut self, now: Duration, leases: &mut LeaseSet) {
-        let is_over = self.permit_until.is_some_and(|until| now >= until);
-        if is_over && self.sent.is_none() {
-            self.permit_until = None;
-            self.permit.give_up(leases);
+    /// Releases the permit once the load time at the rate of the weight store has passed.
+    fn release_finished_permit(&mut self, now: Duration, leases: &mut LeaseSet) {
+        let has_elapsed = self.permit_held_until.is_some_and(|until| now >= until);
+        if has_elapsed && self.pending.is_none() {
+            self.permit_held_until = None;
+            self.permit.release(leases);
         }
     }
 
-    /// Nothing is to be ordered: the leases for it go back.
-    fn rest(&mut self, leases: &mut LeaseSet) {
-        leases.give_up(&self.lease);
-        if self.permit_until.is_none() {
-            self.permit.give_up(leases);
+    /// Releases the leases that only an order needs.
+    fn release_order_leases(&mut self, leases: &mut LeaseSet) {
+        leases.release(&self.lease);
+        if self.permit_held_until.is_none() {
+            self.permit.release(leases);
         }
     }
 
-    /// Stands for the run of the engine: an announcement names none, and another run most likely
-    /// listens elsewhere. One at the same address is told by its reports after [`REPORT_LAG`].
-    pub(super) fn run(&self) -> Incarnation {
+    /// Returns the port as the incarnation of the engine: announcements state none, and a restarted
+    /// engine most likely has another port. With the same port its announcements show the restart
+    /// after [`REPORT_LAG`].
+    pub(super) fn incarnation(&self) -> Incarnation {
         Incarnation(u64::from(self.address.port()))
     }
 
-    /// The order was carried out.
-    pub(super) fn succeeded(&mut self, now: Duration, action: Action) {
+    /// Handles the success of an order.
+    pub(super) fn on_success(&mut self, now: Duration, action: Action) {
         self.failures = 0;
-        self.done.push((now, action));
+        self.unreported.push((now, action));
     }
 
-    /// The order failed; the next one follows after a pause.
-    pub(super) fn failed(&mut self, now: Duration) {
-        let pause = FIRST_PAUSE * 2_u32.pow(self.failures.min(MOST_DOUBLINGS));
+    /// Handles the failure of an order, and delays the next one by the backoff.
+    pub(super) fn on_failure(&mut self, now: Duration) {
+        let backoff = INITIAL_BACKOFF * 2_u32.pow(self.failures.min(MAX_BACKOFF_DOUBLINGS));
         self.failures += 1;
-        self.not_before = now + pause;
+        self.retry_at = now + backoff;
     }
 
-    /// Gives everything up: the engine is gone, or its sidecar stops. The lease of an order that is
-    /// under way is left to expire, since a release says that no order is.
-    pub(super) fn give_up(&mut self, leases: &mut LeaseSet) {
-        self.places.give_up(leases);
-        if self.sent.is_none() {
-            leases.give_up(&self.lease);
+    /// Releases all leases when the engine is removed or the sidecar stops. The lease of a pending
+    /// order is left to expire, since a release states that no order is running.
+    pub(super) fn release(&mut self, leases: &mut LeaseSet) {
+        self.replicas.release(leases);
+        if self.pending.is_none() {
+            leases.release(&self.lease);
         }
-        if self.permit_until.is_none() {
-            self.permit.give_up(leases);
+        if self.permit_held_until.is_none() {
+            self.permit.release(leases);
         }
     }
 }
 
-fn permits(loads: u32, upstream: &UpstreamName) -> Vec<Choice> {
-    choices(loads, upstream, "", permit_lease)
+fn permits(loads: u32, upstream: &UpstreamName) -> Vec<LeaseCandidate> {
+    candidates(loads, upstream, "", permit_lease)
 }
 
-/// What an action loads, by the manifest.
-fn load_of(model: &Model, action: &Action) -> Load {
+/// Returns the size and the replicas of what an action loads, according to the manifest.
+fn load_for(model: &Model, action: &Action) -> Load {
     let found = match action {
         Action::LoadModel { version, .. } => {
-            let known = model.versions.iter().find(|v| v.name == *version);
-            known.map(|version| (version.megabytes, version.replicas))
+            let version = model.versions.iter().find(|v| v.name == *version);
+            version.map(|version| (version.megabytes, version.replicas))
         }
         Action::LoadAdapter { adapter, .. } => {
-            let known = model.adapters.iter().find(|a| a.name == *adapter);
-            known.map(|adapter| (adapter.megabytes, adapter.replicas))
+            let adapter = model.adapters.iter().find(|a| a.name == *adapter);
+            adapter.map(|adapter| (adapter.megabytes, adapter.replicas))
         }
         Action::UnloadAdapter { .. } | Action::SetRole { .. } => None,
     };
--- a/src/coltsfootnotch/daemon/sidecar/orders/lease_set.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/lease_set.rs
@@ -1,9 +1,8 @@
-//! The leases of one sidecar: asked for, renewed and given back through the relay.
+//! Requests, renews and releases the leases of one sidecar through the relay.
 //!
-//! A lease that is wanted is asked for until it is granted or someone else holds it, and renewed while
-//! it is held. Each request has a number of its own, so a reply counts from the time at which its own
-//! request was sent. A release is sent until it is answered: one that was lost would keep the next
-//! holder out for the whole time of the lease.
+//! A wanted lease is requested until it is granted or held by another process, and renewed while it
+//! is held. Each request has its own number, so the time to live counts from when that request was
+//! sent. A release is resent until it is answered, since a lost one delays the next holder.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -17,14 +16,14 @@
 
 use crate::core::{decode_reply, encode_op};
 
-/// Time between two requests for one lease; an election takes about as long.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
-/// Requests older than this get no reply any more: their relay is gone.
-const FORGET_REQUEST: Duration = Duration::from_secs(30);
+/// Time between two requests for one lease; about the length of an election.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which a request is no longer answered, since its relay is lost.
+const REQUEST_TTL: Duration = Duration::from_secs(30);
 
-/// Leases that the sidecar wants, holds or gives back.
+/// Leases that the sidecar requests, holds or releases.
 pub(super) struct LeaseSet {
-    me: ProcessId,
+    process: ProcessId,
     drift: DriftBound,
     leases: BTreeMap<LeaseName, Entry>,
     requests: HashMap<u64, Request>,
@@ -34,38 +33,38 @@
     holder: LeaseHolder,
     ttl: Duration,
     is_wanted: bool,
-    /// Given up here, and not yet known to be released in the log.
+    /// Fencing number of a lease that is released locally, but not yet in the log.
     releasing: Option<FencingNumber>,
-    asked: Option<Duration>,
+    requested_at: Option<Duration>,
     is_refused: bool,
 }
 
 struct Request {
     lease: LeaseName,
-    sent: Duration,
+    sent_at: Duration,
     is_release: bool,
 }
 
 impl LeaseSet {
-    /// Without any lease.
-    pub(super) fn new(me: ProcessId, drift: DriftBound) -> Self {
+    /// Creates an empty set.
+    pub(super) fn new(process: ProcessId, drift: DriftBound) -> Self {
         Self {
-            me,
+            process,
             drift,
             leases: BTreeMap::new(),
             requests: HashMap::new(),
         }
     }
 
-    /// Asks for a lease from now on.
-    pub(super) fn want(&mut self, lease: &LeaseName, ttl: Duration) {
+    /// Starts to request a lease, and to renew it once it is granted.
+    pub(super) fn request(&mut self, lease: &LeaseName, ttl: Duration) {
         let entry = self.entry(lease);
         entry.is_wanted = true;
         entry.ttl = ttl;
     }
 
-    /// Gives a lease up, and releases it in the log.
-    pub(super) fn give_up(&mut self, lease: &LeaseName) {
+    /// Stops using a lease, and releases it in the log.
+    pub(super) fn release(&mut self, lease: &LeaseName) {
         let Some(entry) = self.leases.get_mut(lease) else {
             return;
         };
@@ -73,65 +72,66 @@
         entry.is_refused = false;
         if let Some(number) = entry.holder.give_up() {
             entry.releasing = Some(number);
-            entry.asked = None;
+            entry.requested_at = None;
         }
     }
 
-    /// The fencing number of a lease, while it is held.
-    pub(super) fn number(&self, lease: &LeaseName, now: Duration) -> Option<FencingNumber> {
+    /// Returns the fencing number of a lease while it is held.
+    pub(super) fn fencing_number(&self, lease: &LeaseName, now: Duration) -> Option<FencingNumber> {
         self.leases.get(lease)?.holder.number(now)
     }
 
     /// Whether an order may be sent under a lease to an engine protected by `guard`.
-    pub(super) fn may_order(&self, lease: &LeaseName, now: Duration, guard: Guard) -> bool {
+    pub(super) fn can_order(&self, lease: &LeaseName, now: Duration, guard: Guard) -> bool {
         let entry = self.leases.get(lease);
         entry.is_some_and(|entry| entry.holder.may_order(now, guard))
     }
 
-    /// Whether someone else was said to hold a lease when it was last asked for.
+    /// Whether another process held the lease when it was last requested.
     pub(super) fn is_refused(&self, lease: &LeaseName) -> bool {
         self.leases.get(lease).is_some_and(|entry| entry.is_refused)
     }
 
-    /// Whether a lease is given up here and not yet known to be released in the log.
+    /// Whether any lease is released locally, but not yet in the log.
     pub(super) fn is_releasing(&self) -> bool {
         self.leases.values().any(|entry| entry.releasing.is_some())
     }
 
-    /// Sends what is due; `propose` returns the number of the request, or none without a relay.
+    /// Sends the requests that are due. `propose` returns the number of the request, or `None`
+    /// without a relay.
     pub(super) fn tick(&mut self, now: Duration, mut propose: impl FnMut(Vec<u8>) -> Option<u64>) {
         self.requests
-            .retain(|_, request| now < request.sent + FORGET_REQUEST);
-        self.forget_unwanted();
+            .retain(|_, request| now < request.sent_at + REQUEST_TTL);
+        self.remove_unwanted();
         for (lease, entry) in &mut self.leases {
-            let Some(op) = entry.due(&self.me, lease, now) else {
+            let Some(op) = entry.due_op(&self.process, lease, now) else {
                 continue;
             };
             let Some(id) = propose(encode_op(&op)) else {
                 return;
             };
-            entry.asked = Some(now);
+            entry.requested_at = Some(now);
             let request = Request {
                 lease: lease.clone(),
-                sent: now,
+                sent_at: now,
                 is_release: matches!(op, Op::Release(_)),
             };
             self.requests.insert(id, request);
         }
     }
 
-    /// Forgets leases that are neither wanted nor under way. One with a request under way is kept: a
-    /// late answer from before the release would else look like a grant, and two would hold it.
-    fn forget_unwanted(&mut self) {
+    /// Removes leases that are neither wanted nor being released. A lease with a pending request is
+    /// kept: a late reply from before the release must not count as a grant to a second holder.
+    fn remove_unwanted(&mut self) {
         let requests = &self.requests;
-        let is_under_way = |lease: &LeaseName| requests.values().any(|r| r.lease == *lease);
+        let is_pending = |lease: &LeaseName| requests.values().any(|r| r.lease == *lease);
         self.leases.retain(|lease, entry| {
-            entry.is_wanted || entry.releasing.is_some() || is_under_way(lease)
+            entry.is_wanted || entry.releasing.is_some() || is_pending(lease)
         });
     }
 
-    /// Takes in the answer to a request; whether it was one of these.
-    pub(super) fn answered(
+    /// Handles a reply; returns whether it answers a request of this set.
+    pub(super) fn on_reply(
         &mut self,
         now: Duration,
         id: u64,
@@ -145,24 +145,24 @@
             .ok()
             .and_then(|bytes| decode_reply(bytes).ok());
         if let Some(Reply::Lease(reply)) = reply {
-            self.take_reply(now, &request, &reply);
+            self.apply_reply(now, &request, &reply);
         }
         true
     }
 
-    fn take_reply(&mut self, now: Duration, request: &Request, reply: &LeaseReply) {
+    fn apply_reply(&mut self, now: Duration, request: &Request, reply: &LeaseReply) {
         let entry = self.entry(&request.lease);
         if request.is_release {
             entry.releasing = None;
-            entry.asked = None;
+            entry.requested_at = None;
             return;
         }
         entry.is_refused = matches!(reply, LeaseReply::Held { .. });
         if !entry.is_refused {
-            entry.asked = None;
+            entry.requested_at = None;
         }
-        entry.holder.on_reply(request.sent, now, reply);
-        // It was granted after it had been given up: unreleased it would keep others out.
+        entry.holder.on_reply(request.sent_at, now, reply);
+        // The grant arrived after the local release, so it must be released in the log.
         if !entry.is_wanted
             && let Some(number) = entry.holder.give_up()
         {
@@ -172,21 +172,24 @@
 
     fn entry(&mut self, lease: &LeaseName) -> &mut Entry {
         let drift = self.drift;
-        let unheld = || Entry {
+        let new_entry = || Entry {
             holder: LeaseHolder::new(drift),
             ttl: Duration::ZERO,
             is_wanted: false,
             releasing: None,
-            asked: None,
+            requested_at: None,
             is_refused: false,
         };
-        self.leases.entry(lease.clone()).or_insert_with(unheld)
+        self.leases.entry(lease.clone()).or_insert_with(new_entry)
     }
 }
 
 impl Entry {
-    fn due(&self, me: &ProcessId, lease: &LeaseName, now: Duration) -> Option<Op> {
-        if self.asked.is_some_and(|asked| now < asked + ASK_AGAIN) {
+    fn due_op(&self, process: &ProcessId, lease: &LeaseName, now: Duration) -> Option<Op> {
+        if self
+            .requested_at
+            .is_some_and(|requested_at| now < requested_at + RETRY_INTERVAL)
+        {
             return None;
         }
         let (lease, ttl) = (lease.clone(), self.ttl);
@@ -203,7 +206,7 @@
             }
             None => Some(Op::Grant(Grant {
                 lease,
-                holder: me.clone(),
+                holder: process.clone(),
                 ttl,
             })),
         }
--- a/src/coltsfootnotch/daemon/sidecar/orders/mod.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/mod.rs
@@ -1,20 +1,20 @@
-//! Orders to the engines beside this sidecar: which, when, and under which fencing number.
+//! Orders to the engines of this sidecar: which, when, and under which fencing number.
 //!
-//! The manifest says how many replicas hold each version and adapter; the sidecar claims places of
-//! them as leases ([`places`]), compares with what the engine announces ([`engine`]), takes a permit
-//! of the weight store for what loads weights ([`timing`]), and gives one order at a time under the
-//! lease for orders to this engine. What was carried out is recorded in the log before the next order.
+//! The manifest sets the number of replicas of each version and adapter. The sidecar claims replica
+//! leases ([`replica_leases`]), compares the desired placement with what the engine announces
+//! ([`engine`]), takes a permit of the weight store to load weights ([`timing`]), and sends one
+//! order at a time under the order lease of the engine. It has each recorded before the next.
 //!
-//! Every lease is held by this process's own clock ([`lease_set`]): without a relay the sidecar stops
-//! giving orders in time, and the engine goes on serving what it has.
+//! Leases expire by the clock of this process ([`lease_set`]), so a sidecar without a relay stops
+//! sending orders in time, while the engine keeps serving what it has loaded.
 
 mod call;
-mod claim;
 mod engine;
+mod lease_claim;
 mod lease_set;
 mod names;
-mod places;
-mod records;
+mod pending_records;
+mod replica_leases;
 mod timing;
 
 use std::collections::BTreeMap;
@@ -30,53 +30,53 @@
 use engine::{Engine, StepCx};
 use lease_set::LeaseSet;
 pub use names::serves;
-use records::Records;
+use pending_records::PendingRecords;
 
-/// Time for releases to be answered when the sidecar stops; the leases expire without them.
-const RELEASE_PATIENCE: Duration = Duration::from_secs(1);
+/// Time that a stopping sidecar waits for its releases; unreleased leases expire.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Orders to the engines beside one sidecar.
+/// Decides on and tracks the orders to the engines of one sidecar.
 pub struct Orders {
     engines: BTreeMap<UpstreamName, Engine>,
     leases: LeaseSet,
-    records: Records,
-    stopped: Option<Duration>,
+    records: PendingRecords,
+    stopped_at: Option<Duration>,
 }
 
-/// How an order ended, to be logged.
+/// What to log of a finished order.
 pub struct EndedOrder {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// What was to be loaded, unloaded or become the role.
+    /// Name of the version or adapter, or the role.
     pub name: String,
-    /// Number of the lease under which it was given.
+    /// Fencing number of the lease under which the order was sent.
     pub fence: u64,
-    /// Whether the engine serves another version than before.
+    /// Whether the engine now serves another version.
     pub changes_version: bool,
-    /// How it ended.
+    /// Outcome of the order.
     pub end: OrderEnd,
 }
 
 impl Orders {
-    /// For a sidecar without engines.
+    /// Creates the state of a sidecar without engines.
     #[must_use]
     pub fn new(me: ProcessId, drift: DriftBound) -> Self {
         Self {
             engines: BTreeMap::new(),
             leases: LeaseSet::new(me, drift),
-            records: Records::default(),
-            stopped: None,
+            records: PendingRecords::default(),
+            stopped_at: None,
         }
     }
 
-    /// Takes in an announcement; services get no orders, and engines that leave no more of them.
+    /// Handles an announcement. Services and leaving engines get no orders.
     pub fn announced(&mut self, now: Duration, announcement: &Announcement) {
-        if announcement.kind != UpstreamKind::Engine || self.stopped.is_some() {
+        if announcement.kind != UpstreamKind::Engine || self.stopped_at.is_some() {
             return;
         }
-        let is_other = |engine: &Engine| engine.pool != announcement.pool;
-        let known = self.engines.get(&announcement.name);
-        if announcement.leaving || known.is_some_and(is_other) {
+        let changes_pool = |engine: &Engine| engine.pool != announcement.pool;
+        let previous = self.engines.get(&announcement.name);
+        if announcement.leaving || previous.is_some_and(changes_pool) {
             self.retain(|name| *name != announcement.name);
         }
         if announcement.leaving {
@@ -86,23 +86,23 @@
             .engines
             .entry(announcement.name.clone())
             .or_insert_with(|| Engine::new(now, announcement));
-        engine.hear(now, announcement);
+        engine.on_announcement(now, announcement);
     }
 
-    /// Forgets engines that are silent or gone.
-    pub fn retain(&mut self, is_known: impl Fn(&UpstreamName) -> bool) {
+    /// Removes the engines for which `is_listed` is false, and releases their leases.
+    pub fn retain(&mut self, is_listed: impl Fn(&UpstreamName) -> bool) {
         let leases = &mut self.leases;
         self.engines.retain(|name, engine| {
-            let stays = is_known(name);
+            let stays = is_listed(name);
             if !stays {
-                engine.give_up(leases);
+                engine.release(leases);
             }
             stays
         });
     }
 
-    /// Decides what to order, and asks for, renews and gives back leases through `propose`, which
-    /// returns the number of the proposal, or none without a relay.
+    /// Returns the orders to send, and requests, renews and releases leases through `propose`,
+    /// which returns the number of the proposal, or `None` without a relay.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -111,7 +111,7 @@
     ) -> Vec<(UpstreamName, OrderCall)> {
         self.records.tick(now, &mut propose);
         let calls = match config {
-            Some(config) if self.stopped.is_none() => self.step(now, config),
+            Some(config) if self.stopped_at.is_none() => self.step(now, config),
             _ => Vec::new(),
         };
         self.leases.tick(now, propose);
@@ -124,7 +124,7 @@
             let Some(model) = config.model(engine.pool.as_str()) else {
                 continue;
             };
-            if self.records.is_open(name) {
+            if self.records.is_pending(name) {
                 continue;
             }
             let cx = StepCx {
@@ -140,14 +140,14 @@
         calls
     }
 
-    /// Takes in the answer to a proposal.
+    /// Handles the reply to a proposal.
     pub fn answered(&mut self, now: Duration, id: u64, reply: &Result<Vec<u8>, ProposeError>) {
-        if !self.leases.answered(now, id, reply) {
-            self.records.answered(id, reply);
+        if !self.leases.on_reply(now, id, reply) {
+            self.records.on_reply(id, reply);
         }
     }
 
-    /// An order has ended.
+    /// Handles the outcome of an order; returns what to log, or `None` if no such order is pending.
     pub fn ended(
         &mut self,
         now: Duration,
@@ -155,47 +155,47 @@
         end: OrderEnd,
     ) -> Option<EndedOrder> {
         let engine = self.engines.get_mut(upstream)?;
-        let sent = engine.sent.take()?;
+        let order = engine.pending.take()?;
         match end {
             OrderEnd::Done => {
-                engine.succeeded(now, sent.action.clone());
+                engine.on_success(now, order.action.clone());
                 self.records.add(OrderDone {
                     lease: engine.lease.clone(),
-                    number: sent.fence,
+                    number: order.fence,
                     upstream: upstream.clone(),
-                    incarnation: engine.run(),
-                    action: sent.action,
+                    incarnation: engine.incarnation(),
+                    action: order.action,
                 });
             }
             OrderEnd::OldNumber => {
-                // Another process was granted the lease since: this one must not act on it.
-                self.leases.give_up(&engine.lease);
-                engine.failed(now);
+                // Another process was granted the lease meanwhile, so this one must stop using it.
+                self.leases.release(&engine.lease);
+                engine.on_failure(now);
             }
-            OrderEnd::Status(_) | OrderEnd::NoAnswer => engine.failed(now),
+            OrderEnd::Status(_) | OrderEnd::NoAnswer => engine.on_failure(now),
         }
         Some(EndedOrder {
             upstream: upstream.clone(),
-            name: sent.name,
-            fence: sent.fence.0,
-            changes_version: sent.changes_version && end == OrderEnd::Done,
+            name: order.name,
+            fence: order.fence.0,
+            changes_version: order.changes_version && end == OrderEnd::Done,
             end,
         })
     }
 
-    /// The sidecar stops: no further order, and what is held goes back.
+    /// Stops sending orders and releases all leases.
     pub fn stop(&mut self, now: Duration) {
-        self.stopped = Some(now);
+        self.stopped_at = Some(now);
         for engine in self.engines.values_mut() {
-            engine.give_up(&mut self.leases);
+            engine.release(&mut self.leases);
         }
     }
 
-    /// Whether leases are still going back after a stop. A process that ended before that would keep
-    /// its places and permits from others until they expire.
+    /// Whether releases are pending after a stop. The process waits for them, since unreleased
+    /// leases block other sidecars until they expire.
     #[must_use]
     pub fn is_releasing(&self, now: Duration) -> bool {
-        let is_recent = |stopped| now < stopped + RELEASE_PATIENCE;
-        self.stopped.is_some_and(is_recent) && self.leases.is_releasing()
+        let is_recent = |stopped_at| now < stopped_at + RELEASE_TIMEOUT;
+        self.stopped_at.is_some_and(is_recent) && self.leases.is_releasing()
     }
 }
--- a/src/coltsfootnotch/daemon/sidecar/orders/names.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/names.rs
@@ -1,73 +1,77 @@
 //! Names of leases, and names by which engines list what they have loaded.
 //!
-//! An engine lists a version as `spec-llm:v2` and an adapter as `spec-llm:v2:screed-notes`. Names of
-//! another form are left alone: an engine may hold what others have put there.
+//! An engine lists a version as `spec-llm:v2` and an adapter as `spec-llm:v2:screed-notes`. Names
+//! of any other form are ignored: they may have been loaded by other tools.
 
 use coltsfootnotch_manifest::Model;
 use coltsfootnotch_state::{Action, BodyDigest, Placement};
 use coltsfootnotch_types::{LeaseName, UpstreamName};
 
-/// Digits of a digest in the name of a lease: 128 bits, so that no two names meet.
+/// Hexadecimal digits of a digest in a lease name: 128 bits, which makes collisions unlikely.
 const DIGEST_DIGITS: usize = 32;
 
-/// The lease under which an upstream is given orders.
+/// Name of the lease under which orders are sent to an upstream.
 pub(super) fn orders_lease(upstream: &UpstreamName) -> LeaseName {
-    digested("orders", upstream.as_str())
+    digest_name("orders", upstream.as_str())
 }
 
-/// The lease of place `number` for something that engines load.
-pub(super) fn place_lease(loaded: &str, number: u32) -> LeaseName {
-    digested("place", &format!("{loaded}#{number}"))
+/// Name of the lease for replica `number` of a version or adapter.
+pub(super) fn replica_lease(loaded: &str, number: u32) -> LeaseName {
+    digest_name("place", &format!("{loaded}#{number}"))
 }
 
-/// Permit `number` of the weight store.
+/// Name of the lease for permit `number` of the weight store.
 pub(super) fn permit_lease(number: u32) -> LeaseName {
-    checked(&format!("weights-{number}"))
+    lease_name(&format!("weights-{number}"))
 }
 
-/// Names may be as long as the name of a lease, so the name of a lease holds their digest.
-fn digested(kind: &str, text: &str) -> LeaseName {
+/// Builds a lease name from a digest, since `text` itself may exceed the length of a lease name.
+fn digest_name(kind: &str, text: &str) -> LeaseName {
     let digest = BodyDigest::of(text.as_bytes()).to_string();
-    checked(&format!("{kind}-{}", &digest[..DIGEST_DIGITS]))
+    lease_name(&format!("{kind}-{}", &digest[..DIGEST_DIGITS]))
 }
 
-fn checked(text: &str) -> LeaseName {
-    LeaseName::new(text).expect("the name of a lease is short and plain")
+fn lease_name(text: &str) -> LeaseName {
+    LeaseName::new(text).expect("lease names are short and contain valid characters only")
 }
 
-/// How an engine lists a version.
+/// Name by which an engine lists a version.
 pub(super) fn version_name(model: &str, version: &str) -> String {
     format!("{model}:{version}")
 }
 
-/// How an engine lists an adapter.
+/// Name by which an engine lists an adapter.
 pub(super) fn adapter_name(model: &str, version: &str, adapter: &str) -> String {
     format!("{model}:{version}:{adapter}")
 }
 
-/// What an engine says it has. Where it lists several versions, the one that is wanted counts, or
-/// else the last.
-pub(super) fn placement(model: &Model, listed: &[String], want: &Placement) -> Placement {
-    let start = format!("{}:", model.name);
-    let mut has = Placement::default();
-    let own = listed.iter().filter_map(|name| name.strip_prefix(&start));
-    for name in own {
+/// Returns the placement that an engine reports. If it lists several versions, the desired one
+/// counts, or else the last.
+pub(super) fn reported_placement(
+    model: &Model,
+    listed: &[String],
+    desired: &Placement,
+) -> Placement {
+    let prefix = format!("{}:", model.name);
+    let mut reported = Placement::default();
+    let names = listed.iter().filter_map(|name| name.strip_prefix(&prefix));
+    for name in names {
         match name.split_once(':') {
             Some((version, adapter)) => {
                 let version = version.to_owned();
-                let is_settled = has.adapters.get(adapter) == want.adapters.get(adapter);
-                if !has.adapters.contains_key(adapter) || !is_settled {
-                    has.adapters.insert(adapter.to_owned(), version);
+                let is_desired = reported.adapters.get(adapter) == desired.adapters.get(adapter);
+                if !reported.adapters.contains_key(adapter) || !is_desired {
+                    reported.adapters.insert(adapter.to_owned(), version);
                 }
             }
-            None if has.model.is_some() && has.model == want.model => {}
-            None => has.model = Some((model.name.to_string(), name.to_owned())),
+            None if reported.model.is_some() && reported.model == desired.model => {}
+            None => reported.model = Some((model.name.to_string(), name.to_owned())),
         }
     }
-    has
+    reported
 }
 
-/// Whether an engine can serve its pool by what it lists. One that lists nothing is not asked to.
+/// Whether an engine lists what it needs to serve its pool. An engine that lists nothing passes.
 ///
 /// ```
 /// use coltsfootnotch::daemon::sidecar::orders::serves;
@@ -88,11 +92,12 @@
     listed.is_empty() || listed.iter().any(|name| is_pool(name) || is_version(name))
 }
 
-/// An action as an engine is told: what to do, and with what. `has` is what the engine has.
-pub(super) fn as_order(
+/// Returns the operation, the JSON key and the value of the order for an action. `current` is the
+/// placement of the engine before the order.
+pub(super) fn order_fields(
     model: &str,
     action: &Action,
-    has: &Placement,
+    current: &Placement,
 ) -> (&'static str, &'static str, String) {
     match action {
         Action::LoadModel { model, version } => ("load", "name", version_name(model, version)),
@@ -100,7 +105,7 @@
             ("load", "name", adapter_name(model, version, adapter))
         }
         Action::UnloadAdapter { adapter } => {
-            let version = has.adapters.get(adapter).map_or("", String::as_str);
+            let version = current.adapters.get(adapter).map_or("", String::as_str);
             ("unload", "name", adapter_name(model, version, adapter))
         }
         Action::SetRole { role } => ("set_role", "role", role.clone()),
--- a/src/coltsfootnotch/daemon/sidecar/orders/timing.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/timing.rs
@@ -1,91 +1,91 @@
-//! How long loads, orders and their leases take, from the manifest.
+//! Durations of loads, orders and their leases, computed from the manifest.
 //!
-//! Load pattern answered: a new version wants weights on every engine of a model at once. The store
-//! has as many permits as it allows loads; a permit is kept for as long as the store needs at its
-//! stated rate, also when the engine was faster, so that neither the number of loads nor the rate is
-//! exceeded over the whole fleet.
+//! A new version is loaded by every engine of a model at once. The weight store has one permit for
+//! each concurrent load that it allows. A permit is held for the load time at the stated rate, even
+//! if the engine loads faster, so that the fleet exceeds neither the number of loads nor the rate.
 
 use std::time::Duration;
 
 use coltsfootnotch_manifest::WeightStore;
 use coltsfootnotch_state::Guard;
 
-/// What an order takes besides its load.
+/// Time that an order takes besides its load.
 const ORDER_OVERHEAD: Duration = Duration::from_secs(5);
-/// Longest order to an engine that checks numbers: nothing waits for its end.
-const LONGEST_ORDER: Duration = Duration::from_secs(3600);
-/// Longest order to an engine that ignores numbers. Its lease lasts twice as long, and the log
-/// grants 600 s at most.
-const LONGEST_UNFENCED: Duration = Duration::from_secs(290);
-/// Lease for orders to an engine that checks numbers: what a new holder waits for after a crash.
-const FENCED_TTL: Duration = Duration::from_secs(10);
-/// Shortest lease of a permit: renewals of a third of it survive an election.
-const SHORTEST_PERMIT: Duration = Duration::from_secs(10);
-/// Longest lease that the log grants.
-const LONGEST_LEASE: Duration = Duration::from_secs(600);
-/// Rounds of questions that all who wait for a permit make together while one load takes its time:
-/// a free permit is found after an eighth of that on average, and the log is asked no more often
-/// when more engines wait.
-const ROUNDS_PER_LOAD: u32 = 8;
-/// Shortest pause after all permits were found taken.
-const SHORTEST_REST: Duration = Duration::from_millis(250);
-/// Longest such pause: what the last who wait may leave the store idle. 600 engines that wait for
-/// one of four permits ask 240 times a second together, a few hundredths of what the log commits.
-const LONGEST_REST: Duration = Duration::from_secs(10);
+/// Maximum timeout of an order to an engine that checks fencing numbers; no holder waits for it.
+const MAX_ORDER_TIMEOUT: Duration = Duration::from_secs(3600);
+/// Maximum timeout of an order to an engine that ignores fencing numbers. The lease lasts twice as
+/// long, which stays below [`MAX_LEASE_TTL`].
+const MAX_UNFENCED_TIMEOUT: Duration = Duration::from_secs(290);
+/// Order lease for an engine that checks fencing numbers; after a crash a new holder waits for it.
+const FENCED_LEASE_TTL: Duration = Duration::from_secs(10);
+/// Minimum lease of a permit: it is renewed after a third, so it outlasts an election.
+const MIN_PERMIT_TTL: Duration = Duration::from_secs(10);
+/// Maximum lease that the log grants.
+const MAX_LEASE_TTL: Duration = Duration::from_secs(600);
+/// Rounds of permit requests that all waiting engines together make during one load. The delay
+/// grows with the number of engines, so the load on the log doesn't.
+const CLAIM_ROUNDS_PER_LOAD: u32 = 8;
+/// Minimum delay after all permits were refused.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Maximum delay after all permits were refused. It bounds how long the store stays idle.
+/// With 600 engines and four permits the log gets 240 requests a second, a few percent of its rate.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// What an order loads.
+/// The weights that an order loads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Load {
-    /// Its size.
+    /// Size in megabytes.
     pub(super) megabytes: u64,
-    /// Replicas that load it, perhaps all at once.
+    /// Number of replicas that load them, possibly all at once.
     pub(super) replicas: u32,
 }
 
-/// Times of one order.
+/// Durations of one order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Timing {
-    /// For how long the permit is kept from the start of the load.
-    pub(super) pace: Duration,
-    /// The order is aborted after this.
+    /// Time from the start of the load for which the permit is held.
+    pub(super) load_time: Duration,
+    /// Time after which the order is aborted.
     pub(super) timeout: Duration,
-    /// Lease under which the order is given.
-    pub(super) orders_ttl: Duration,
-    /// Lease of the permit. Twice the time planned, so that a load which its sidecar can't renew any
-    /// more has most likely ended before the permit goes to another.
+    /// Lease under which the order is sent.
+    pub(super) order_lease_ttl: Duration,
+    /// Lease of the permit: twice the load time, so that a load whose sidecar can no longer renew
+    /// the permit has most likely finished before another process is granted it.
     pub(super) permit_ttl: Duration,
-    /// Pause after all permits were found taken.
-    pub(super) rest: Duration,
+    /// Delay after all permits were refused.
+    pub(super) retry_delay: Duration,
 }
 
 impl Timing {
-    /// The times for a load; none of its megabytes for an order that loads nothing.
+    /// Computes the durations of an order; one that loads nothing has a load of zero megabytes.
     pub(super) fn new(store: WeightStore, load: Load, is_fenced: bool) -> Self {
-        let pace = store.load_time(load.megabytes.saturating_mul(u64::from(store.loads)));
-        let longest = match is_fenced {
-            true => LONGEST_ORDER,
-            false => LONGEST_UNFENCED,
+        let load_time = store.load_time(load.megabytes.saturating_mul(u64::from(store.loads)));
+        let max_timeout = match is_fenced {
+            true => MAX_ORDER_TIMEOUT,
+            false => MAX_UNFENCED_TIMEOUT,
         };
-        let timeout = pace
+        let timeout = load_time
             .saturating_mul(2)
             .saturating_add(ORDER_OVERHEAD)
-            .min(longest);
-        let orders_ttl = match is_fenced {
-            true => FENCED_TTL,
+            .min(max_timeout);
+        let order_lease_ttl = match is_fenced {
+            true => FENCED_LEASE_TTL,
             false => timeout * 2,
         };
         Self {
-            pace,
+            load_time,
             timeout,
-            orders_ttl,
-            permit_ttl: pace.saturating_mul(2).clamp(SHORTEST_PERMIT, LONGEST_LEASE),
-            rest: (pace / ROUNDS_PER_LOAD)
+            order_lease_ttl,
+            permit_ttl: load_time
+                .saturating_mul(2)
+                .clamp(MIN_PERMIT_TTL, MAX_LEASE_TTL),
+            retry_delay: (load_time / CLAIM_ROUNDS_PER_LOAD)
                 .saturating_mul(load.replicas)
-                .clamp(SHORTEST_REST, LONGEST_REST),
+                .clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
         }
     }
 
-    /// How the engine is protected from an earlier holder.
+    /// How the engine is protected from orders of an earlier holder.
     pub(super) fn guard(&self, is_fenced: bool) -> Guard {
         match is_fenced {
             true => Guard::Numbers,
