--- a/src/coltsfootnotch/daemon/sidecar/actor.rs
+++ b/src/coltsfootnotch/daemon/sidecar/actor.rs
@@ -1,4 +1,4 @@
-//! The sidecar's actor: owns the slots, the attempts and the connections.
+//! The sidecar's actor, which owns the slots, the attempts and the connections.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -14,34 +14,35 @@
 use stakker::{CX, after, call, fwd_to, stop};
 
 use super::SidecarConfig;
-use super::announced::process_id;
+use super::announcement_handlers::process_id;
 use super::handle::Started;
 use super::orders::{OrderEnd, Orders};
-use super::runner::RunnerControl;
+use super::runner::RunnerHandle;
 use super::service_reports::ServiceReports;
-use super::sockets::{ListenTask, fabric_handler, listen};
+use super::sockets::{AnnounceServer, fabric_handler, start_announce_server};
 use super::upstream_call::Clients;
-use super::upstreams::Upstreams;
+use super::upstream_table::UpstreamTable;
 use crate::core::HostCx;
 use crate::daemon::{Lifecycle, RelayClient, RelayNews, StartError, Starter};
 use crate::util::events;
 
-/// Time between the actor's own rounds: heartbeats, expiry and news of service fall due on them.
-const TICK: Duration = Duration::from_millis(20);
-/// Furthest that two waiting accounts may stand apart, in units at weight 1: four times the bound of
-/// a pool of 900 slots (30 replicas, 30 slots each) with requests of 10,000 units.
-const HORIZON: ServiceUnits = ServiceUnits(72_000_000);
+/// Time between two ticks, on which heartbeats, expiry and service reports become due.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum difference in service between two accounts with queued requests, in service units at
+/// weight 1: four times the bound of a pool of 900 slots (30 replicas with 30 slots each) and
+/// requests of 10,000 units.
+const FAIR_HORIZON: ServiceUnits = ServiceUnits(72_000_000);
 
-/// What reaches the actor.
+/// Messages to the actor.
 pub(super) enum SidecarMsg {
     Fabric(Event),
-    Opened {
+    AttemptOpened {
         peer: PeerId,
         begin: Box<Begin>,
         stream: AttemptStream,
     },
-    Announced(Box<Announcement>),
-    FirstPiece {
+    Announcement(Box<Announcement>),
+    FirstChunk {
         attempt: AttemptId,
     },
     Progress {
@@ -49,20 +50,21 @@
         tokens: u64,
         total: ServiceUnits,
     },
-    Ended {
+    AttemptFinished {
         attempt: AttemptId,
         usage: Usage,
         outcome: RunOutcome,
     },
-    Probed {
+    ProbeFinished {
         upstream: UpstreamName,
         crashed: bool,
         suspects: Vec<ContentKey>,
     },
-    Forgotten {
+    /// The task of the attempt has exited, so the attempt can't be resumed.
+    RunnerExited {
         attempt: AttemptId,
     },
-    OrderEnded {
+    OrderFinished {
         upstream: UpstreamName,
         end: OrderEnd,
     },
@@ -73,8 +75,8 @@
     pub(super) cx: HostCx,
     pub(super) cfg: SidecarConfig,
     pub(super) core: SidecarCore,
-    pub(super) upstreams: Upstreams,
-    pub(super) attempts: HashMap<AttemptId, RunnerControl>,
+    pub(super) upstreams: UpstreamTable,
+    pub(super) attempts: HashMap<AttemptId, RunnerHandle>,
     pub(super) entries: BTreeMap<HostName, (LinkId, LinkTx)>,
     pub(super) relay: RelayClient,
     pub(super) reports: ServiceReports,
@@ -86,7 +88,7 @@
     fleet: SocketAddr,
     life: Lifecycle,
     _guard: ChannelGuard,
-    _listening: ListenTask,
+    _announce_server: AnnounceServer,
 }
 
 impl SidecarActor {
@@ -118,11 +120,17 @@
         tx: Channel<SidecarMsg>,
         guard: ChannelGuard,
     ) -> Result<(Self, Started), StartError> {
-        let me = cx.identity.incarnation;
+        let local_incarnation = cx.identity.incarnation;
         let handler = fabric_handler(&cx, &tx);
-        let endpoint = Endpoint::bind(&cx.runtime, cfg.fleet, &cfg.credentials, me, handler)?;
+        let endpoint = Endpoint::bind(
+            &cx.runtime,
+            cfg.fleet,
+            &cfg.credentials,
+            local_incarnation,
+            handler,
+        )?;
         let fleet = endpoint.address()?;
-        let (announce, listening) = listen(&cx, &cfg, &tx)?;
+        let (announce, announce_server) = start_announce_server(&cx, &cfg, &tx)?;
         let charts = Charts::load()?;
         let life = Lifecycle::new(cx.clone(), &charts.daemon, cfg.shutdown);
         let started = Started {
@@ -135,11 +143,11 @@
         let actor = Self {
             core: SidecarCore::new(CoreConfig {
                 host: cx.identity.host.clone(),
-                incarnation: me,
+                incarnation: local_incarnation,
                 policy: cfg.policy,
-                horizon: HORIZON,
+                horizon: FAIR_HORIZON,
             }),
-            upstreams: Upstreams::new(charts.upstream),
+            upstreams: UpstreamTable::new(charts.upstream),
             attempts: HashMap::new(),
             entries: BTreeMap::new(),
             relay: RelayClient::new(cx.clone(), cfg.control.clone()),
@@ -154,7 +162,7 @@
             fleet,
             life,
             _guard: guard,
-            _listening: listening,
+            _announce_server: announce_server,
         };
         actor.cx.log(
             &events::DAEMON_STARTED,
@@ -166,13 +174,13 @@
     fn on_msg(&mut self, stakker: CX![], msg: SidecarMsg) {
         match msg {
             SidecarMsg::Fabric(event) => self.on_fabric(event),
-            SidecarMsg::Opened {
+            SidecarMsg::AttemptOpened {
                 peer,
                 begin,
                 stream,
-            } => self.on_opened(&peer, *begin, stream),
-            SidecarMsg::Announced(announcement) => self.on_announced(&announcement),
-            SidecarMsg::FirstPiece { attempt } => self.on_first_piece(attempt),
+            } => self.on_attempt_opened(&peer, *begin, stream),
+            SidecarMsg::Announcement(announcement) => self.on_announcement(&announcement),
+            SidecarMsg::FirstChunk { attempt } => self.on_first_chunk(attempt),
             SidecarMsg::Progress {
                 attempt,
                 tokens,
@@ -180,41 +188,41 @@
             } => {
                 self.core.progress(self.cx.now(), attempt, tokens, total);
             }
-            SidecarMsg::Probed {
+            SidecarMsg::ProbeFinished {
                 upstream,
                 crashed,
                 suspects,
             } => {
-                self.on_probed(&upstream, crashed, suspects);
+                self.on_probe_finished(&upstream, crashed, suspects);
             }
-            SidecarMsg::Ended {
+            SidecarMsg::AttemptFinished {
                 attempt,
                 usage,
                 outcome,
-            } => self.on_ended(attempt, usage, outcome),
-            SidecarMsg::Forgotten { attempt } => drop(self.attempts.remove(&attempt)),
-            SidecarMsg::OrderEnded { upstream, end } => self.on_order_ended(&upstream, end),
+            } => self.on_attempt_finished(attempt, usage, outcome),
+            SidecarMsg::RunnerExited { attempt } => drop(self.attempts.remove(&attempt)),
+            SidecarMsg::OrderFinished { upstream, end } => self.on_order_finished(&upstream, end),
             SidecarMsg::Stop => self.on_stop(),
         }
         self.run_actions();
-        self.end_if_drained(stakker);
+        self.stop_if_drained(stakker);
     }
 
     fn tick(&mut self, stakker: CX![]) {
         let now = self.cx.now();
         self.core.tick(now);
-        self.forget_silent();
-        let record = self.record(now);
+        self.remove_silent_upstreams();
+        let record = self.host_record(now);
         self.relay
             .tick(&self.endpoint, |config| HostRecord { config, ..record });
         self.report_service(now);
-        self.give_orders(now);
+        self.send_orders(now);
         self.run_actions();
-        self.end_if_drained(stakker);
-        after!(TICK, [stakker], tick());
+        self.stop_if_drained(stakker);
+        after!(TICK_INTERVAL, [stakker], tick());
     }
 
-    pub(super) fn record(&self, now: Duration) -> HostRecord {
+    pub(super) fn host_record(&self, now: Duration) -> HostRecord {
         let pools = self.core.upstreams().pools(now);
         HostRecord {
             host: self.cx.identity.host.clone(),
@@ -231,19 +239,19 @@
         }
     }
 
-    fn forget_silent(&mut self) {
+    fn remove_silent_upstreams(&mut self) {
         let listed = self.core.upstreams();
         for upstream in self.upstreams.retain(|name| listed.get(name).is_some()) {
             self.cx
                 .log(&events::UPSTREAM_SILENT, &[("upstream", &upstream)]);
         }
-        let known = &self.upstreams;
-        self.orders.retain(|name| known.get(name).is_some());
+        let upstreams = &self.upstreams;
+        self.orders.retain(|name| upstreams.get(name).is_some());
     }
 
-    /// An upstream can't be connected to, or has crashed: it gets no work until it announces itself
-    /// again. Without this its slots would be filled, refused and filled again at round-trip rate.
-    pub(super) fn unreachable(&mut self, upstream: &UpstreamName, event: UpstreamEvent) {
+    /// Stops sending requests to an upstream that is unreachable or has crashed, until its next
+    /// announcement. This prevents a loop of requests that fail and free its slots.
+    pub(super) fn mark_unreachable(&mut self, upstream: &UpstreamName, event: UpstreamEvent) {
         self.upstreams.fire(upstream, event);
         let now = self.cx.now();
         if let Some(slots) = self.core.upstreams_mut().get_mut(upstream) {
@@ -255,7 +263,7 @@
         let now = self.cx.now();
         match event {
             Event::Up { link, peer, tx, .. } if peer.role == Role::Control => {
-                self.reports.relay_changed();
+                self.reports.on_relay_connected();
                 self.relay.up(link, tx);
             }
             Event::Up { link, peer, tx, .. } if peer.role == Role::Entry => {
@@ -317,7 +325,7 @@
                 let totals = totals.iter().map(|(account, total)| (account, *total));
                 self.core.fair_ledger_mut().merge_remote(totals);
             }
-            RelayNews::ServiceApplied(seq) => self.reports.acknowledged(seq),
+            RelayNews::ServiceApplied(seq) => self.reports.on_acknowledged(seq),
             RelayNews::Proposed { id, reply } => self.orders.answered(self.cx.now(), id, &reply),
             RelayNews::Hosts { .. } => {}
         }
@@ -330,14 +338,15 @@
         self.core.start_drain();
         let now = self.cx.now();
         self.orders.stop(now);
-        self.give_orders(now);
-        let record = self.record(now);
+        self.send_orders(now);
+        let record = self.host_record(now);
         self.relay
             .heartbeat(now, |config| HostRecord { config, ..record });
     }
 
-    /// Ends when the last attempt has, and its entry has all of its answer.
-    fn end_if_drained(&mut self, stakker: CX![]) {
+    /// Stops the actor once leases are released and every attempt has finished, with its response
+    /// acknowledged by the entry.
+    fn stop_if_drained(&mut self, stakker: CX![]) {
         if self.orders.is_releasing(self.cx.now()) {
             return;
         }
--- a/src/coltsfootnotch/daemon/sidecar/announce.rs
+++ b/src/coltsfootnotch/daemon/sidecar/announce_endpoint.rs
@@ -1,4 +1,4 @@
-//! Announcements of upstreams, over HTTP on the loopback address.
+//! HTTP endpoint on the loopback address for announcements of upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use crate::util::http_server::{AnyResponse, TEXT, full, read_body};
 
 const PATH: &str = "/v1/announce";
-/// Largest announcement in bytes: a thousand cache events and what describes the upstream.
-const MAX_BODY: usize = 256 * 1024;
-/// Time for an announcement to come; the upstream is on the same host.
+/// Maximum size of an announcement in bytes; allows a thousand cache events.
+const MAX_BODY_BYTES: usize = 256 * 1024;
+/// Time to read the body of an announcement; the upstream is on the same host.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Takes in one announcement.
-pub(super) async fn answer(
+/// Handles a request with an announcement.
+pub(super) async fn handle_request(
     cx: HostCx,
     tx: Channel<SidecarMsg>,
     req: Request<Incoming>,
@@ -40,13 +40,13 @@
             "announcements are posted\n",
         );
     }
-    let body = match read_body(req.into_body(), MAX_BODY, READ_TIMEOUT).await {
+    let body = match read_body(req.into_body(), MAX_BODY_BYTES, READ_TIMEOUT).await {
         Ok(body) => body,
         Err(status) => return full(status, TEXT, "the announcement can't be read\n"),
     };
     match parse(&body) {
         Ok(announcement) => {
-            tx.send(SidecarMsg::Announced(Box::new(announcement)));
+            tx.send(SidecarMsg::Announcement(Box::new(announcement)));
             full(StatusCode::NO_CONTENT, TEXT, "")
         }
         Err(cause) => {
--- a/src/coltsfootnotch/daemon/sidecar/announced.rs
+++ b/src/coltsfootnotch/daemon/sidecar/announcement_handlers.rs
@@ -1,4 +1,4 @@
-//! What the actor does with announcements and orders.
+//! Handlers of the actor for announcements of upstreams and for orders to engines.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 
 use super::actor::{SidecarActor, SidecarMsg};
 use super::orders::{self, OrderEnd};
-use super::upstreams::Announced;
+use super::upstream_table::AnnouncementEffect;
 use crate::core::HostCx;
 use crate::util::events;
 
-/// Time in which a plain service should answer; beyond it, it is let hold less.
+/// Target latency of a plain service; above it the window of the service shrinks.
 const SERVICE_LATENCY: Duration = Duration::from_millis(250);
 
 impl SidecarActor {
-    pub(super) fn on_announced(&mut self, announcement: &Announcement) {
+    pub(super) fn on_announcement(&mut self, announcement: &Announcement) {
         let now = self.cx.now();
         let name = &announcement.name;
         match self
             .upstreams
-            .announce(announcement, self.cfg.limits.upstreams)
+            .apply_announcement(announcement, self.cfg.limits.upstreams)
         {
-            Announced::TooMany => return,
-            Announced::New => self.cx.log(
+            AnnouncementEffect::LimitReached => return,
+            AnnouncementEffect::Added => self.cx.log(
                 &events::UPSTREAM_ANNOUNCED,
                 &[
                     ("upstream", name),
@@ -34,20 +34,20 @@
                     ("address", &announcement.address),
                 ],
             ),
-            Announced::Leaving => self
+            AnnouncementEffect::StartedLeaving => self
                 .cx
                 .log(&events::UPSTREAM_LEAVING, &[("upstream", name)]),
-            Announced::Same => {}
+            AnnouncementEffect::Unchanged => {}
         }
-        let cached = self.upstreams.cached(announcement);
-        self.core.add_cached_prefixes(&announcement.pool, &cached);
+        let digests = self.upstreams.new_cached_prefixes(announcement);
+        self.core.add_cached_prefixes(&announcement.pool, &digests);
         self.orders.announced(now, announcement);
         let update = UpstreamUpdate {
             live_until: now + announcement.ttl,
             leaving: announcement.leaving || !self.serves_pool(announcement),
             queued: announcement.load.waiting,
             reported: now.saturating_sub(Duration::from_millis(announcement.load.age_ms)),
-            targets: self.targets(&announcement.pool),
+            targets: self.window_targets(&announcement.pool),
         };
         let pool = announcement.pool.clone();
         self.core
@@ -55,8 +55,8 @@
             .apply_announcement(now, name.clone(), pool, update);
     }
 
-    /// What the windows of a pool aim at.
-    fn targets(&self, pool: &PoolName) -> WindowTargets {
+    /// Latency targets for the windows of a pool.
+    fn window_targets(&self, pool: &PoolName) -> WindowTargets {
         let config = self.relay.config();
         match config.and_then(|config| config.model(pool.as_str())) {
             Some(model) => WindowTargets {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Whether the upstream has what its pool needs. An engine that waits for an order to load it
-    /// would answer every request with an error.
+    /// Whether the upstream has loaded what its pool needs. Until then an engine answers every
+    /// request with an error.
     fn serves_pool(&self, announcement: &Announcement) -> bool {
         let config = self.relay.config();
         let model = config.and_then(|config| config.model(announcement.pool.as_str()));
@@ -76,7 +76,7 @@
     }
 
     /// Sends the orders that are due.
-    pub(super) fn give_orders(&mut self, now: Duration) {
+    pub(super) fn send_orders(&mut self, now: Duration) {
         let config = self.relay.config().cloned();
         let relay = &mut self.relay;
         let propose = |command| relay.propose(command);
@@ -93,17 +93,17 @@
             let tx = self.tx.clone();
             self.cx.runtime.spawn_blocking(move || {
                 let end = call.run();
-                tx.send(SidecarMsg::OrderEnded { upstream, end });
+                tx.send(SidecarMsg::OrderFinished { upstream, end });
             });
         }
     }
 
-    /// An order has ended.
-    pub(super) fn on_order_ended(&mut self, upstream: &UpstreamName, end: OrderEnd) {
-        let Some(ended) = self.orders.ended(self.cx.now(), upstream, end) else {
+    /// Handles the outcome of an order.
+    pub(super) fn on_order_finished(&mut self, upstream: &UpstreamName, end: OrderEnd) {
+        let Some(order) = self.orders.ended(self.cx.now(), upstream, end) else {
             return;
         };
-        if ended.changes_version {
+        if order.changes_version {
             let now = self.cx.now();
             let slots = self.core.upstreams_mut().get_mut(upstream);
             slots
@@ -118,16 +118,16 @@
         self.cx.log(
             event,
             &[
-                ("upstream", &ended.upstream),
-                ("name", &ended.name),
-                ("fence", &ended.fence),
-                ("end", &ended.end),
+                ("upstream", &order.upstream),
+                ("name", &order.name),
+                ("fence", &order.fence),
+                ("end", &order.end),
             ],
         );
     }
 }
 
-/// This process, as the log knows the holder of a lease.
+/// Identity of this process as the holder of a lease.
 pub(super) fn process_id(cx: &HostCx) -> ProcessId {
     ProcessId {
         host: cx.identity.host.clone(),
--- a/src/coltsfootnotch/daemon/sidecar/attempts.rs
+++ b/src/coltsfootnotch/daemon/sidecar/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at the sidecar: opened, run, ended.
+//! Handlers of the actor for attempts, which start, run and finish.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,31 +17,31 @@
 use tokio::sync::{Notify, mpsc};
 
 use super::actor::{SidecarActor, SidecarMsg};
-use super::runner::{Cost, Progress, Resumed, Runner, RunnerControl};
+use super::runner::{Cost, ResumeRequest, Runner, RunnerHandle, RunnerState};
 use super::upstream_call::{self, UpstreamCall};
 use crate::util::events;
 
-/// Parts between the upstream's thread and the attempt's task.
-const PART_BUFFER: usize = 32;
-/// Time in which an upstream that broke off must take a connection, or it has crashed.
+/// Capacity of the channel from the thread of the upstream call to the task of the attempt.
+const PART_CHANNEL_CAPACITY: usize = 32;
+/// Time to accept a connection after a broken response; an upstream that doesn't has crashed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl SidecarActor {
-    /// An entry opens an attempt, or takes one up again.
-    pub(super) fn on_opened(&mut self, peer: &PeerId, begin: Begin, stream: AttemptStream) {
+    /// Handles a stream on which an entry starts or resumes an attempt.
+    pub(super) fn on_attempt_opened(&mut self, peer: &PeerId, begin: Begin, stream: AttemptStream) {
         if let BeginCause::Resume { from } = begin.cause {
             return self.resume(begin.attempt, from, stream);
         }
         let now = self.cx.now();
         match self.core.try_start(now, &peer.host, &begin) {
             Ok(upstream) => self.run_attempt(begin, &upstream, stream),
-            Err(reason) => self.not_started(begin.attempt, reason, stream),
+            Err(reason) => self.reply_not_started(begin.attempt, reason, stream),
         }
     }
 
     fn resume(&mut self, attempt: AttemptId, from: u64, stream: AttemptStream) {
-        let Some(control) = self.attempts.get(&attempt) else {
-            // Its pieces are gone, so whether it ran can't be said from here.
+        let Some(runner) = self.attempts.get(&attempt) else {
+            // Its chunks are lost, so whether it ran is unknown here.
             let (reason, usage) = (FailReason::PiecesGone, Usage::default());
             return self.reply(
                 AttemptReply::Failed {
@@ -52,13 +52,18 @@
                 stream,
             );
         };
-        let resume = control.resume.clone();
+        let resume = runner.resume.clone();
         self.cx
             .runtime
-            .spawn(async move { resume.send(Resumed { stream, from }).await });
+            .spawn(async move { resume.send(ResumeRequest { stream, from }).await });
     }
 
-    fn not_started(&self, attempt: AttemptId, reason: NotStartedReason, stream: AttemptStream) {
+    fn reply_not_started(
+        &self,
+        attempt: AttemptId,
+        reason: NotStartedReason,
+        stream: AttemptStream,
+    ) {
         let label = [("reason", reason.to_string())];
         self.cx
             .metrics
@@ -70,31 +75,31 @@
     fn reply(&self, reply: AttemptReply, mut stream: AttemptStream) {
         self.cx.runtime.spawn(async move {
             if write_frame(&mut stream.send, &reply).await.is_ok() && stream.send.finish().is_ok() {
-                let _entry_has_it = stream.send.stopped().await;
+                let _acknowledged = stream.send.stopped().await;
             }
         });
     }
 
     fn run_attempt(&mut self, begin: Begin, upstream: &UpstreamName, stream: AttemptStream) {
         let attempt = begin.attempt;
-        let Some(known) = self.upstreams.get(upstream) else {
+        let Some(entry) = self.upstreams.get(upstream) else {
             let now = self.cx.now();
             self.core
                 .finish(now, attempt, ServiceUnits(0), RunOutcome::NotReached);
-            return self.not_started(attempt, NotStartedReason::NotReached, stream);
+            return self.reply_not_started(attempt, NotStartedReason::NotReached, stream);
         };
         let cancelled = Arc::new(AtomicBool::new(false));
-        let (parts_tx, parts) = mpsc::channel(PART_BUFFER);
-        let (resume, resumed) = mpsc::channel(1);
-        let wake = Arc::new(Notify::new());
-        let control = RunnerControl {
+        let (parts_tx, parts) = mpsc::channel(PART_CHANNEL_CAPACITY);
+        let (resume, resume_requests) = mpsc::channel(1);
+        let cancel_notify = Arc::new(Notify::new());
+        let handle = RunnerHandle {
             cancelled: Arc::clone(&cancelled),
-            wake,
+            cancel_notify,
             resume,
         };
         let call = UpstreamCall {
-            agent: self.clients.of_call(begin.repeatable),
-            address: known.address,
+            agent: self.clients.for_call(begin.repeatable),
+            address: entry.address,
             attempt,
             deadline: Duration::from_millis(begin.deadline_ms),
             cancelled,
@@ -108,12 +113,12 @@
             cost: self.cost_of(&begin.pool, begin.estimate),
             stream: Some(stream),
             parts,
-            resumed,
-            control: control.clone(),
+            resume_requests,
+            handle: handle.clone(),
             tx: self.tx.clone(),
-            state: Progress::default(),
+            state: RunnerState::default(),
         };
-        self.attempts.insert(attempt, control);
+        self.attempts.insert(attempt, handle);
         self.cx.runtime.spawn_blocking(move || call.run());
         self.cx.runtime.spawn(runner.run());
     }
@@ -129,16 +134,21 @@
         }
     }
 
-    /// The first piece has come.
-    pub(super) fn on_first_piece(&mut self, attempt: AttemptId) {
+    /// Handles the first chunk of a response.
+    pub(super) fn on_first_chunk(&mut self, attempt: AttemptId) {
         if let Some(upstream) = self.core.upstream_of(attempt) {
             self.upstreams.fire(upstream, UpstreamEvent::ProbeSucceeded);
         }
         self.core.on_first_chunk(self.cx.now(), attempt);
     }
 
-    /// An attempt has ended at the upstream; its slot is free.
-    pub(super) fn on_ended(&mut self, attempt: AttemptId, usage: Usage, outcome: RunOutcome) {
+    /// Handles the end of the upstream call of an attempt, which frees its slot.
+    pub(super) fn on_attempt_finished(
+        &mut self,
+        attempt: AttemptId,
+        usage: Usage,
+        outcome: RunOutcome,
+    ) {
         let now = self.cx.now();
         let upstream = self.core.upstream_of(attempt).cloned();
         if let RunOutcome::Failed(reason) = outcome {
@@ -147,23 +157,28 @@
                 &[("attempt", &attempt), ("cause", &reason)],
             );
             if let Some(upstream) = &upstream {
-                self.after_failure(attempt, upstream, reason);
+                self.on_attempt_failed(attempt, upstream, reason);
             }
         }
         self.core.finish(now, attempt, usage.service, outcome);
         if let (RunOutcome::NotReached, Some(upstream)) = (outcome, upstream) {
-            self.unreachable(&upstream, UpstreamEvent::ConnectFailed);
+            self.mark_unreachable(&upstream, UpstreamEvent::ConnectFailed);
         }
     }
 
-    fn after_failure(&mut self, attempt: AttemptId, upstream: &UpstreamName, reason: FailReason) {
-        let Some(known) = self.upstreams.get(upstream) else {
+    fn on_attempt_failed(
+        &mut self,
+        attempt: AttemptId,
+        upstream: &UpstreamName,
+        reason: FailReason,
+    ) {
+        let Some(entry) = self.upstreams.get(upstream) else {
             return;
         };
-        let address = known.address;
+        let address = entry.address;
         match reason {
-            FailReason::Cancelled if known.capabilities.cancel => {
-                let agent = self.clients.of_call(true);
+            FailReason::Cancelled if entry.capabilities.cancel => {
+                let agent = self.clients.for_call(true);
                 let cancel = move || upstream_call::cancel(&agent, address, attempt);
                 self.cx.runtime.spawn_blocking(cancel);
             }
@@ -172,8 +187,8 @@
         }
     }
 
-    /// Finds out whether an upstream that broke off has crashed. The first attempt to break off has
-    /// the others of the same crash still beside it; those that follow are of the same crash.
+    /// Checks whether an upstream has crashed after a broken response. Only the first broken
+    /// attempt starts a probe, while other attempts of the same crash are still listed as running.
     fn probe(&mut self, upstream: &UpstreamName, address: SocketAddr) {
         if !self.probing.insert(upstream.clone()) {
             return;
@@ -183,7 +198,7 @@
         self.cx.runtime.spawn(async move {
             let connected = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
             let crashed = !matches!(connected, Ok(Ok(_)));
-            tx.send(SidecarMsg::Probed {
+            tx.send(SidecarMsg::ProbeFinished {
                 upstream,
                 crashed,
                 suspects,
@@ -191,8 +206,8 @@
         });
     }
 
-    /// An upstream that broke off was looked at.
-    pub(super) fn on_probed(
+    /// Handles the result of a probe.
+    pub(super) fn on_probe_finished(
         &mut self,
         upstream: &UpstreamName,
         crashed: bool,
@@ -205,13 +220,13 @@
                 &events::UPSTREAM_CRASHED,
                 &[("upstream", upstream), ("in_flight", &count)],
             );
-            self.unreachable(upstream, UpstreamEvent::Crashed);
+            self.mark_unreachable(upstream, UpstreamEvent::Crashed);
             self.core
                 .on_upstream_crash(self.cx.now(), upstream, suspects);
         }
     }
 
-    /// Carries out what the core has decided.
+    /// Executes the actions that the core has decided on.
     pub(super) fn run_actions(&mut self) {
         let now = self.cx.now();
         for action in self.core.take_actions(now) {
@@ -222,18 +237,18 @@
                     }
                 }
                 SidecarAction::Cancel { attempt } => {
-                    if let Some(control) = self.attempts.get(&attempt) {
-                        control.cancel();
+                    if let Some(runner) = self.attempts.get(&attempt) {
+                        runner.cancel();
                     }
                 }
             }
         }
     }
 
-    /// Tells the relay what service was given, and whose totals are wanted.
+    /// Reports the provided service and the watched accounts to the relay.
     pub(super) fn report_service(&mut self, now: Duration) {
         let (fair, waits) = self.core.fair_ledger_and_waits();
-        if let Some(batch) = self.reports.due(now, fair, || waits.all_accounts()) {
+        if let Some(batch) = self.reports.take_due(now, fair, || waits.all_accounts()) {
             self.relay.send(ToRelay::Service(batch));
         }
     }
--- a/src/coltsfootnotch/daemon/sidecar/config.rs
+++ b/src/coltsfootnotch/daemon/sidecar/config.rs
@@ -1,4 +1,4 @@
-//! What a sidecar is started with.
+//! Configuration of a sidecar.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,22 +10,22 @@
 
 use crate::daemon::ControlAddress;
 
-/// What a sidecar is started with.
+/// Configuration of a sidecar.
 pub struct SidecarConfig {
-    /// Address of its fleet endpoint (UDP).
+    /// Address of the fleet endpoint (UDP).
     pub fleet: SocketAddr,
     /// Loopback address for announcements.
     pub announce: SocketAddr,
     /// The control hosts.
     pub control: Vec<ControlAddress>,
-    /// Its certificate and key.
+    /// Certificate and private key of the sidecar.
     pub credentials: Credentials,
-    /// Bounds on what others can make it hold.
+    /// Limits on the state that peers and upstreams can create.
     pub limits: Limits,
-    /// Time for requests in progress at a graceful shutdown.
+    /// Time that a graceful shutdown gives to requests in progress.
     pub shutdown: Duration,
-    /// How it chooses whose work it pulls.
+    /// Policy by which it chooses the account to pull from.
     pub policy: ChoicePolicy,
-    /// Bound on the drift of clocks; leases for orders to engines are held shorter by it.
+    /// Bound on the drift of clocks, by which leases are held for a shorter time locally.
     pub drift: DriftBound,
 }
--- a/src/coltsfootnotch/daemon/sidecar/handle.rs
+++ b/src/coltsfootnotch/daemon/sidecar/handle.rs
@@ -1,4 +1,4 @@
-//! A running sidecar, as whoever started it sees it.
+//! Starts a sidecar and controls a running one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::daemon::{StartError, Starter};
 use crate::util::event_loop;
 
-/// A running sidecar.
+/// Handle to a running sidecar.
 pub struct SidecarHandle {
     tx: Channel<SidecarMsg>,
     thread: JoinHandle<()>,
@@ -26,30 +26,30 @@
 }
 
 impl SidecarHandle {
-    /// The address for announcements.
+    /// The bound address for announcements.
     #[must_use]
     pub fn announce(&self) -> SocketAddr {
         self.announce
     }
 
-    /// The address of its fleet endpoint.
+    /// The bound address of the fleet endpoint.
     #[must_use]
     pub fn fleet(&self) -> SocketAddr {
         self.fleet
     }
 
-    /// Control traffic so far.
+    /// Counters of the control traffic.
     #[must_use]
     pub fn traffic(&self) -> Arc<Traffic> {
         Arc::clone(&self.traffic)
     }
 
-    /// Starts a graceful shutdown: attempts in progress finish, no new ones are pulled.
+    /// Starts a graceful shutdown: attempts in progress finish, and no new ones are pulled.
     pub fn stop(&self) {
         self.tx.send(SidecarMsg::Stop);
     }
 
-    /// A closure that starts a graceful shutdown.
+    /// Returns a closure that starts a graceful shutdown.
     pub fn stopper(&self) -> impl Fn() + Send + 'static + use<> {
         let tx = self.tx.clone();
         move || {
@@ -57,20 +57,21 @@
         }
     }
 
-    /// Whether it has a configuration and is not leaving: a closure for the readiness probe.
+    /// Returns a closure for the readiness probe: whether the sidecar has a configuration and is
+    /// not shutting down.
     pub fn ready(&self) -> impl Fn() -> bool + Send + Sync + 'static + use<> {
         let ready = Arc::clone(&self.ready);
         move || ready.load(Ordering::Relaxed)
     }
 
-    /// Waits until the daemon has ended.
+    /// Blocks until the thread of the sidecar has finished.
     pub fn join(self) {
-        // The thread's panic was already reported by its hook; there is nothing to add.
-        let _ended = self.thread.join();
+        // A panic of the thread was already reported by the panic hook.
+        let _joined = self.thread.join();
     }
 }
 
-/// Starts a sidecar.
+/// Starts a sidecar on a thread of its own.
 ///
 /// # Errors
 /// Returns a [`StartError`] when an address can't be bound or the credentials can't be used.
@@ -95,7 +96,7 @@
     })
 }
 
-/// What the daemon's thread hands out once it runs.
+/// What the sidecar's thread returns once it runs.
 pub(super) struct Started {
     pub(super) tx: Channel<SidecarMsg>,
     pub(super) announce: SocketAddr,
--- a/src/coltsfootnotch/daemon/sidecar/mod.rs
+++ b/src/coltsfootnotch/daemon/sidecar/mod.rs
@@ -1,12 +1,12 @@
-//! The sidecar role: runs beside upstreams, pulls waiting work and dispatches it.
+//! The sidecar role: runs beside upstreams, pulls queued requests and dispatches them.
 //!
-//! Upstreams announce themselves over HTTP. The actor owns the slots and decides what starts; a
-//! task per attempt owns the attempt's stream to the entry and the call to the upstream, and keeps
-//! the pieces for an entry whose connection broke.
+//! Upstreams announce themselves over HTTP. The actor owns the slots and decides which attempts
+//! start. Each attempt has a task that owns the stream to the entry and the call to the upstream,
+//! and buffers chunks for an entry that lost its connection.
 
 mod actor;
-mod announce;
-mod announced;
+mod announce_endpoint;
+mod announcement_handlers;
 mod attempts;
 mod config;
 mod handle;
@@ -16,7 +16,7 @@
 mod sockets;
 mod sse;
 mod upstream_call;
-mod upstreams;
+mod upstream_table;
 
 pub use config::SidecarConfig;
 pub use handle::{SidecarHandle, start};
--- a/src/coltsfootnotch/daemon/sidecar/runner.rs
+++ b/src/coltsfootnotch/daemon/sidecar/runner.rs
@@ -1,5 +1,5 @@
-//! The task of one attempt at the sidecar: passes pieces to the entry, and keeps them for one whose
-//! connection broke.
+//! Task of one attempt at the sidecar: forwards the response to the entry, and buffers chunks for
+//! an entry that lost its connection.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,153 +16,162 @@
 use tokio::time::Instant;
 
 use super::actor::SidecarMsg;
-use super::upstream_call::Part;
+use super::upstream_call::ResponsePart;
 
-/// How long the pieces are kept for an entry whose connection broke; as long as the entry tries.
+/// Time for which chunks are buffered for a disconnected entry; the entry retries as long.
 const RESUME_WINDOW: Duration = Duration::from_secs(5);
-/// Bytes of pieces kept for one attempt; a slower entry than that gets an explicit error.
-const MAX_KEPT_BYTES: usize = 512 * 1024;
-/// Tokens between two reports of service while a stream runs: the service of others is weighed
-/// against it at most this late.
+/// Maximum size in bytes of the buffered chunks of an attempt; a slower entry gets an error.
+const MAX_BUFFERED_BYTES: usize = 512 * 1024;
+/// Tokens between two progress reports of a running stream, which bounds how far the fair ledger
+/// lags behind.
 const TOKENS_PER_REPORT: u64 = 16;
 
-/// A stream by which an entry takes an attempt up again.
-pub(super) struct Resumed {
+/// A stream on which an entry resumes an attempt.
+pub(super) struct ResumeRequest {
     pub(super) stream: AttemptStream,
+    /// Sequence number of the first chunk to send.
     pub(super) from: u64,
 }
 
-/// How an attempt is reached while it runs.
+/// Handle to the task of a running attempt.
 #[derive(Clone)]
-pub(super) struct RunnerControl {
+pub(super) struct RunnerHandle {
     pub(super) cancelled: Arc<AtomicBool>,
-    pub(super) wake: Arc<Notify>,
-    pub(super) resume: mpsc::Sender<Resumed>,
+    pub(super) cancel_notify: Arc<Notify>,
+    pub(super) resume: mpsc::Sender<ResumeRequest>,
 }
 
-impl RunnerControl {
-    /// Ends the attempt: its caller has gone.
+impl RunnerHandle {
+    /// Cancels the attempt.
     pub(super) fn cancel(&self) {
         self.cancelled.store(true, Ordering::Relaxed);
-        self.wake.notify_one();
+        self.cancel_notify.notify_one();
     }
 }
 
-/// What an attempt costs.
+/// How the service of an attempt is computed.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Cost {
+    /// From its token counts.
     Tokens(TokenWeights),
+    /// A fixed cost for each call.
     Call(ServiceUnits),
 }
 
-/// One attempt.
+/// Task of one attempt.
 pub(super) struct Runner {
     pub(super) attempt: AttemptId,
     pub(super) upstream: UpstreamName,
     pub(super) cost: Cost,
     pub(super) stream: Option<AttemptStream>,
-    pub(super) parts: mpsc::Receiver<Part>,
-    pub(super) resumed: mpsc::Receiver<Resumed>,
-    pub(super) control: RunnerControl,
+    pub(super) parts: mpsc::Receiver<ResponsePart>,
+    pub(super) resume_requests: mpsc::Receiver<ResumeRequest>,
+    pub(super) handle: RunnerHandle,
     pub(super) tx: Channel<SidecarMsg>,
-    pub(super) state: Progress,
+    pub(super) state: RunnerState,
 }
 
-/// How far an attempt has come.
+/// Mutable state of a [`Runner`].
 #[derive(Default)]
-pub(super) struct Progress {
-    frames: VecDeque<(u64, Vec<u8>)>,
-    kept_bytes: usize,
-    next: u64,
+pub(super) struct RunnerState {
+    /// Sequence numbers and data of the buffered chunks.
+    buffered: VecDeque<(u64, Vec<u8>)>,
+    buffered_bytes: usize,
+    next_seq: u64,
     head: Option<(u16, String)>,
     usage: Usage,
-    reported: u64,
-    lost_at: Option<Instant>,
-    last: Option<AttemptReply>,
+    reported_tokens: u64,
+    disconnected_at: Option<Instant>,
+    final_reply: Option<AttemptReply>,
 }
 
 impl Runner {
-    /// Runs until the upstream has ended and the entry has it all, or is gone for good.
+    /// Runs until the upstream has finished and the entry has acknowledged the response, or the
+    /// resume window has passed.
     pub(super) async fn run(mut self) {
-        while self.state.last.is_none() {
-            let give_up_at = self.give_up_at();
+        while self.state.final_reply.is_none() {
+            let abandon_at = self.abandon_at();
             tokio::select! {
-                part = self.parts.recv() => self.take(part).await,
-                Some(resumed) = self.resumed.recv() => self.take_up(resumed).await,
-                () = self.control.wake.notified() => self.cancel().await,
-                () = tokio::time::sleep_until(give_up_at) => self.cancel().await,
+                part = self.parts.recv() => self.on_part(part).await,
+                Some(request) = self.resume_requests.recv() => self.resume(request).await,
+                () = self.handle.cancel_notify.notified() => self.cancel().await,
+                () = tokio::time::sleep_until(abandon_at) => self.cancel().await,
             }
         }
-        let ended = SidecarMsg::Ended {
+        let finished = SidecarMsg::AttemptFinished {
             attempt: self.attempt,
             usage: self.state.usage,
-            outcome: match &self.state.last {
+            outcome: match &self.state.final_reply {
                 Some(AttemptReply::Failed { reason, .. }) => RunOutcome::Failed(*reason),
                 Some(AttemptReply::NotStarted { .. }) => RunOutcome::NotReached,
                 _ => RunOutcome::Finished,
             },
         };
-        self.tx.send(ended);
-        self.hand_over().await;
-        self.tx.send(SidecarMsg::Forgotten {
+        self.tx.send(finished);
+        self.wait_acknowledged().await;
+        self.tx.send(SidecarMsg::RunnerExited {
             attempt: self.attempt,
         });
     }
 
-    /// When the attempt is given up: a while after its entry went, and never while it is there.
-    fn give_up_at(&self) -> Instant {
+    /// Time at which the attempt is abandoned: [`RESUME_WINDOW`] after the entry disconnected, and
+    /// never while it is connected.
+    fn abandon_at(&self) -> Instant {
         self.state
-            .lost_at
-            .map_or_else(far_off, |lost_at| lost_at + RESUME_WINDOW)
+            .disconnected_at
+            .map_or_else(far_future, |disconnected_at| {
+                disconnected_at + RESUME_WINDOW
+            })
     }
 
-    async fn take(&mut self, part: Option<Part>) {
+    async fn on_part(&mut self, part: Option<ResponsePart>) {
         match part {
-            Some(Part::NotReached) => {
+            Some(ResponsePart::NotReached) => {
                 let reason = NotStartedReason::NotReached;
-                self.end(AttemptReply::NotStarted {
+                self.finish(AttemptReply::NotStarted {
                     attempt: self.attempt,
                     reason,
                 })
                 .await;
             }
-            Some(Part::Head {
+            Some(ResponsePart::Head {
                 status,
                 content_type,
             }) => {
                 self.state.head = Some((status, content_type));
                 self.send_start().await;
             }
-            Some(Part::Piece { data, tokens }) => self.take_piece(data, tokens).await,
-            Some(Part::Usage(usage)) => {
+            Some(ResponsePart::Chunk { data, tokens }) => self.on_chunk(data, tokens).await,
+            Some(ResponsePart::Usage(usage)) => {
                 self.state.usage.tokens_in = usage.prompt_tokens;
                 self.state.usage.tokens_out =
                     usage.completion_tokens.max(self.state.usage.tokens_out);
             }
-            Some(Part::Done) => {
+            Some(ResponsePart::Done) => {
                 self.state.usage.service = self.service();
-                let (attempt, pieces, usage) = (self.attempt, self.state.next, self.state.usage);
-                self.end(AttemptReply::Done {
+                let (attempt, pieces, usage) =
+                    (self.attempt, self.state.next_seq, self.state.usage);
+                self.finish(AttemptReply::Done {
                     attempt,
                     pieces,
                     usage,
                 })
                 .await;
             }
-            Some(Part::Failed(reason)) => self.fail(reason).await,
+            Some(ResponsePart::Failed(reason)) => self.fail(reason).await,
             None => self.fail(FailReason::UpstreamBroke).await,
         }
     }
 
-    async fn take_piece(&mut self, data: Vec<u8>, tokens: u64) {
-        if self.state.next == 0 {
-            self.tx.send(SidecarMsg::FirstPiece {
+    async fn on_chunk(&mut self, data: Vec<u8>, tokens: u64) {
+        if self.state.next_seq == 0 {
+            self.tx.send(SidecarMsg::FirstChunk {
                 attempt: self.attempt,
             });
         }
         self.state.usage.tokens_out += tokens;
-        if self.state.usage.tokens_out >= self.state.reported + TOKENS_PER_REPORT {
-            self.state.reported = self.state.usage.tokens_out;
+        if self.state.usage.tokens_out >= self.state.reported_tokens + TOKENS_PER_REPORT {
+            self.state.reported_tokens = self.state.usage.tokens_out;
             let total = self.service();
             self.tx.send(SidecarMsg::Progress {
                 attempt: self.attempt,
@@ -170,15 +179,15 @@
                 total,
             });
         }
-        let seq = self.state.next;
-        self.state.next += 1;
+        let seq = self.state.next_seq;
+        self.state.next_seq += 1;
         self.send(&AttemptReply::Piece {
             attempt: self.attempt,
             seq,
             data: data.clone(),
         })
         .await;
-        self.state.keep(seq, data);
+        self.state.buffer_chunk(seq, data);
     }
 
     fn service(&self) -> ServiceUnits {
@@ -191,14 +200,14 @@
     }
 
     async fn cancel(&mut self) {
-        self.control.cancelled.store(true, Ordering::Relaxed);
+        self.handle.cancelled.store(true, Ordering::Relaxed);
         self.fail(FailReason::Cancelled).await;
     }
 
     async fn fail(&mut self, reason: FailReason) {
         self.state.usage.service = self.service();
         let (attempt, usage) = (self.attempt, self.state.usage);
-        self.end(AttemptReply::Failed {
+        self.finish(AttemptReply::Failed {
             attempt,
             reason,
             usage,
@@ -206,9 +215,9 @@
         .await;
     }
 
-    async fn end(&mut self, last: AttemptReply) {
-        self.send(&last).await;
-        self.state.last = Some(last);
+    async fn finish(&mut self, final_reply: AttemptReply) {
+        self.send(&final_reply).await;
+        self.state.final_reply = Some(final_reply);
     }
 
     async fn send_start(&mut self) {
@@ -233,29 +242,29 @@
         };
         if write_frame(&mut stream.send, reply).await.is_err() {
             self.stream = None;
-            self.state.lost_at = Some(Instant::now());
+            self.state.disconnected_at = Some(Instant::now());
         }
     }
 
-    /// An entry is back: it is sent what it has not seen.
-    async fn take_up(&mut self, resumed: Resumed) {
-        self.stream = Some(resumed.stream);
-        self.state.lost_at = None;
-        let first_kept = self
+    /// Sends a reconnected entry the chunks that it has not received.
+    async fn resume(&mut self, request: ResumeRequest) {
+        self.stream = Some(request.stream);
+        self.state.disconnected_at = None;
+        let first_buffered = self
             .state
-            .frames
+            .buffered
             .front()
-            .map_or(self.state.next, |(seq, _)| *seq);
-        if resumed.from < first_kept || resumed.from > self.state.next {
-            self.control.cancelled.store(true, Ordering::Relaxed);
+            .map_or(self.state.next_seq, |(seq, _)| *seq);
+        if request.from < first_buffered || request.from > self.state.next_seq {
+            self.handle.cancelled.store(true, Ordering::Relaxed);
             return self.fail(FailReason::PiecesGone).await;
         }
         self.send_start().await;
         let missed: Vec<_> = self
             .state
-            .frames
+            .buffered
             .iter()
-            .filter(|(seq, _)| *seq >= resumed.from)
+            .filter(|(seq, _)| *seq >= request.from)
             .cloned()
             .collect();
         for (seq, data) in missed {
@@ -268,45 +277,48 @@
         }
     }
 
-    /// Keeps the end for an entry that may not have got it, until it confirms or the window closes.
-    async fn hand_over(&mut self) {
-        let window = Instant::now() + RESUME_WINDOW;
+    /// Waits until the entry has acknowledged the response, and resends what is missing on each
+    /// resume, until [`RESUME_WINDOW`] has passed.
+    async fn wait_acknowledged(&mut self) {
+        let deadline = Instant::now() + RESUME_WINDOW;
         loop {
             if let Some(stream) = &mut self.stream {
                 let finished = stream.send.finish().is_ok();
-                // Resolves when the entry has acknowledged every byte, or has gone.
-                let acknowledged = tokio::time::timeout_at(window, stream.send.stopped()).await;
+                // Resolves once the entry has acknowledged every byte or disconnected.
+                let acknowledged = tokio::time::timeout_at(deadline, stream.send.stopped()).await;
                 if finished && matches!(acknowledged, Ok(Ok(_))) {
                     return;
                 }
                 self.stream = None;
             }
-            let Ok(Some(resumed)) = tokio::time::timeout_at(window, self.resumed.recv()).await
+            let Ok(Some(request)) =
+                tokio::time::timeout_at(deadline, self.resume_requests.recv()).await
             else {
                 return;
             };
-            self.take_up(resumed).await;
-            if let Some(last) = self.state.last.clone() {
-                self.send(&last).await;
+            self.resume(request).await;
+            if let Some(final_reply) = self.state.final_reply.clone() {
+                self.send(&final_reply).await;
             }
         }
     }
 }
 
-impl Progress {
-    fn keep(&mut self, seq: u64, data: Vec<u8>) {
-        self.kept_bytes += data.len();
-        self.frames.push_back((seq, data));
-        while self.kept_bytes > MAX_KEPT_BYTES {
-            let Some((_, oldest)) = self.frames.pop_front() else {
+impl RunnerState {
+    /// Buffers a chunk, and drops the oldest ones beyond [`MAX_BUFFERED_BYTES`].
+    fn buffer_chunk(&mut self, seq: u64, data: Vec<u8>) {
+        self.buffered_bytes += data.len();
+        self.buffered.push_back((seq, data));
+        while self.buffered_bytes > MAX_BUFFERED_BYTES {
+            let Some((_, oldest)) = self.buffered.pop_front() else {
                 return;
             };
-            self.kept_bytes -= oldest.len();
+            self.buffered_bytes -= oldest.len();
         }
     }
 }
 
-/// A time that no attempt lives to see.
-fn far_off() -> Instant {
+/// A time beyond the deadline of any attempt.
+fn far_future() -> Instant {
     Instant::now() + Duration::from_secs(24 * 60 * 60)
 }
--- a/src/coltsfootnotch/daemon/sidecar/service_reports.rs
+++ b/src/coltsfootnotch/daemon/sidecar/service_reports.rs
@@ -1,8 +1,9 @@
-//! Reports of the service given here, to the relay.
+//! Reports to the relay of the service that this sidecar has provided.
 //!
-//! The relay sums what sidecars report, so a report states what was added, each under a number, and
-//! is sent again until it is acknowledged. It also names the accounts whose totals the sidecar wants,
-//! as changes: all names in every report were most of a sidecar's control traffic.
+//! The relay sums the reports of all sidecars. A report contains the increments since the previous
+//! one under a sequence number, and is resent until it is acknowledged. It also adds and removes
+//! watched accounts, whose totals the relay sends, since a full list each time costs far more
+//! traffic.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,53 +12,53 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::ServiceBatch;
 
-/// Time between two reports: what hosts know of each other's service is at most about this old,
-/// twice over (host to relay, relay to host). Half of it doubles the traffic and narrows the gap by
-/// less than one request.
-const REPORT_EVERY: Duration = Duration::from_millis(200);
-/// Time after which a report without an acknowledgement is sent again.
-const REPORT_AGAIN: Duration = Duration::from_millis(500);
-/// Time for which an account is watched after its last request was started: accounts that come and
-/// go with each request would be named in every report.
+/// Time between two reports; the totals of other hosts are up to about twice as old, with one
+/// interval to the relay and one back.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+/// Time after which an unacknowledged report is resent.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
+/// Time for which an account stays watched after its last request has started, so that reports
+/// don't add and remove it for each request.
 const WATCH_LINGER: Duration = Duration::from_secs(5);
 
-/// What was reported, and what is on its way.
+/// State of the reports: what was reported, and the unacknowledged report.
 #[derive(Debug, Default)]
 pub(super) struct ServiceReports {
     seq: u64,
     in_flight: Option<(Duration, ServiceBatch)>,
-    last: Duration,
-    /// Watched accounts, and when they last waited.
+    last_report: Duration,
+    /// Watched accounts, and when they last had a queued request.
     watched: BTreeMap<AccountName, Duration>,
-    /// All service reported so far. Only the host itself can tell a new relay which part of a total
-    /// is its own; taken for service elsewhere, it would count twice.
+    /// All service reported so far. It is sent when an account is watched, so that a new relay
+    /// excludes it from the totals of other hosts and doesn't count it twice.
     reported: BTreeMap<AccountName, ServiceUnits>,
 }
 
 impl ServiceReports {
-    /// The report that is due, if one is; `waiting` gives the accounts that wait, asked only then.
-    pub(super) fn due(
+    /// Returns the report to send now, if one is due. Only then is `waiting` called, which returns
+    /// the accounts with queued requests.
+    pub(super) fn take_due(
         &mut self,
         now: Duration,
         fair: &mut FairLedger,
         waiting: impl FnOnce() -> BTreeSet<AccountName>,
     ) -> Option<ServiceBatch> {
-        if let Some((sent, batch)) = &mut self.in_flight {
-            if now < *sent + REPORT_AGAIN {
+        if let Some((sent_at, batch)) = &mut self.in_flight {
+            if now < *sent_at + RESEND_INTERVAL {
                 return None;
             }
-            *sent = now;
+            *sent_at = now;
             return Some(batch.clone());
         }
-        if now < self.last + REPORT_EVERY {
+        if now < self.last_report + REPORT_INTERVAL {
             return None;
         }
-        self.last = now;
+        self.last_report = now;
         let served = fair.take_unsent();
         for (account, units) in &served {
             *self.reported.entry(account.clone()).or_default() += *units;
         }
-        let (watch, unwatch) = self.rewatch(now, &waiting());
+        let (watch, unwatch) = self.update_watched(now, &waiting());
         if served.is_empty() && watch.is_empty() && unwatch.is_empty() {
             return None;
         }
@@ -72,21 +73,22 @@
         Some(batch)
     }
 
-    /// The relay has taken a report in.
-    pub(super) fn acknowledged(&mut self, seq: u64) {
-        let taken = |(_, batch): &(Duration, ServiceBatch)| batch.seq <= seq;
-        if self.in_flight.as_ref().is_some_and(taken) {
+    /// Handles the acknowledgement of a report.
+    pub(super) fn on_acknowledged(&mut self, seq: u64) {
+        let is_applied = |(_, batch): &(Duration, ServiceBatch)| batch.seq <= seq;
+        if self.in_flight.as_ref().is_some_and(is_applied) {
             self.in_flight = None;
         }
     }
 
-    /// The connection to the relay is a new one, which knows of no watched account.
-    pub(super) fn relay_changed(&mut self) {
+    /// Handles a new connection to a relay, which has no watched accounts yet.
+    pub(super) fn on_relay_connected(&mut self) {
         self.watched.clear();
     }
 
-    /// The accounts to watch from now on, and those to watch no more.
-    fn rewatch(
+    /// Updates the watched accounts; returns those to add, with the service reported so far, and
+    /// those to remove.
+    fn update_watched(
         &mut self,
         now: Duration,
         waiting: &BTreeSet<AccountName>,
@@ -98,8 +100,11 @@
                 watch.push((account.clone(), reported.unwrap_or_default()));
             }
         }
-        let is_stale = |waited: &Duration| now.saturating_sub(*waited) > WATCH_LINGER;
-        let stale = self.watched.iter().filter(|(_, waited)| is_stale(waited));
+        let is_stale = |last_queued: &Duration| now.saturating_sub(*last_queued) > WATCH_LINGER;
+        let stale = self
+            .watched
+            .iter()
+            .filter(|(_, last_queued)| is_stale(last_queued));
         let unwatch: Vec<AccountName> = stale.map(|(account, _)| account.clone()).collect();
         for account in &unwatch {
             self.watched.remove(account);
--- a/src/coltsfootnotch/daemon/sidecar/sockets.rs
+++ b/src/coltsfootnotch/daemon/sidecar/sockets.rs
@@ -1,4 +1,4 @@
-//! What reaches the actor from its sockets.
+//! Tasks that pass events of the sockets to the actor.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,17 +10,18 @@
 use tokio::task::JoinHandle;
 
 use super::actor::SidecarMsg;
-use super::{SidecarConfig, announce};
+use super::{SidecarConfig, announce_endpoint};
 use crate::core::HostCx;
 use crate::daemon::StartError;
 use crate::util::http_server::{ServerLimits, serve};
 
-/// Connections for announcements: a few upstreams on the same host.
-const ANNOUNCE_CONNECTIONS: usize = 64;
+/// Maximum number of connections for announcements, which come from upstreams on the same host.
+const MAX_ANNOUNCE_CONNECTIONS: usize = 64;
 const ANNOUNCE_HEADER_BYTES: usize = 8192;
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Passes events on; what opens a stream is read first, since that takes as long as the peer likes.
+/// Returns a handler that passes fabric events to the actor. The first frame of a stream is read on
+/// a task of its own, so that a slow peer delays no other event.
 pub(super) fn fabric_handler(
     cx: &HostCx,
     tx: &Channel<SidecarMsg>,
@@ -33,7 +34,7 @@
             let tx = tx.clone();
             runtime.spawn(async move {
                 if let Ok(begin) = coltsfootnotch_fabric::read_frame(&mut stream.recv).await {
-                    tx.send(SidecarMsg::Opened {
+                    tx.send(SidecarMsg::AttemptOpened {
                         peer,
                         begin: Box::new(begin),
                         stream,
@@ -47,30 +48,32 @@
     }
 }
 
-/// The task that takes announcements; it ends with its sidecar, whose address is free again then.
-pub(super) struct ListenTask(JoinHandle<()>);
+/// The server task for announcements; aborted on drop, which frees the address.
+pub(super) struct AnnounceServer(JoinHandle<()>);
 
-impl Drop for ListenTask {
+impl Drop for AnnounceServer {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Starts to take announcements; gives the address bound.
-pub(super) fn listen(
+/// Starts the server for announcements; returns the bound address.
+pub(super) fn start_announce_server(
     cx: &HostCx,
     cfg: &SidecarConfig,
     tx: &Channel<SidecarMsg>,
-) -> Result<(SocketAddr, ListenTask), StartError> {
+) -> Result<(SocketAddr, AnnounceServer), StartError> {
     let listener = cx.runtime.block_on(TcpListener::bind(cfg.announce))?;
     let address = listener.local_addr()?;
     let limits = ServerLimits {
-        connections: ANNOUNCE_CONNECTIONS,
+        connections: MAX_ANNOUNCE_CONNECTIONS,
         header_bytes: ANNOUNCE_HEADER_BYTES,
         read_timeout: ANNOUNCE_TIMEOUT,
     };
-    let (cx_of_handler, tx) = (cx.clone(), tx.clone());
-    let handler = move |req, from| announce::answer(cx_of_handler.clone(), tx.clone(), req, from);
+    let (handler_cx, tx) = (cx.clone(), tx.clone());
+    let handler = move |req, from| {
+        announce_endpoint::handle_request(handler_cx.clone(), tx.clone(), req, from)
+    };
     let task = cx.runtime.spawn(serve(listener, limits, handler));
-    Ok((address, ListenTask(task)))
+    Ok((address, AnnounceServer(task)))
 }
--- a/src/coltsfootnotch/daemon/sidecar/sse.rs
+++ b/src/coltsfootnotch/daemon/sidecar/sse.rs
@@ -1,50 +1,51 @@
-//! Server-sent events as they come from an engine, cut at their ends.
+//! Splits and classifies the server-sent events of an engine.
 
 use serde::Deserialize;
 
-/// Largest event in bytes; an upstream that sends a longer one has broken off.
-const MAX_EVENT: usize = 1024 * 1024;
+/// Maximum size of an event in bytes; a longer one fails the response.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// One event with the blank line that ends it.
+/// One event, including the blank line that ends it.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct SseEvent {
     pub(super) bytes: Vec<u8>,
 }
 
-/// Cuts a byte stream into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
-pub(super) struct SseCutter {
+pub(super) struct SseSplitter {
     buf: Vec<u8>,
 }
 
 #[derive(Deserialize)]
-struct Chunk {
+struct CompletionChunk {
     #[serde(default)]
-    usage: Option<ChunkUsage>,
+    usage: Option<TokenUsage>,
     #[serde(default)]
     choices: Vec<serde_json::Value>,
 }
 
-/// Token counts, as an engine states them.
+/// Token counts that an engine reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-pub(super) struct ChunkUsage {
+pub(super) struct TokenUsage {
     #[serde(default)]
     pub(super) prompt_tokens: u64,
     #[serde(default)]
     pub(super) completion_tokens: u64,
 }
 
-/// What an event says.
+/// Classification of an event.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Meaning {
+pub(super) enum EventKind {
     Token,
-    Usage(ChunkUsage),
-    Last,
+    Usage(TokenUsage),
+    Done,
     Other,
 }
 
-impl SseCutter {
-    /// Adds bytes; none when an event has grown too long.
+impl SseSplitter {
+    /// Appends bytes and returns the events that are complete, or `None` if the next event exceeds
+    /// [`MAX_EVENT_BYTES`].
     pub(super) fn push(&mut self, bytes: &[u8]) -> Option<Vec<SseEvent>> {
         self.buf.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -54,32 +55,32 @@
                 bytes: std::mem::replace(&mut self.buf, rest),
             });
         }
-        (self.buf.len() <= MAX_EVENT).then_some(events)
+        (self.buf.len() <= MAX_EVENT_BYTES).then_some(events)
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Whether no bytes of an incomplete event are buffered.
     pub(super) fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 }
 
 impl SseEvent {
-    /// What the event says.
-    pub(super) fn meaning(&self) -> Meaning {
+    /// Classifies the event by its data.
+    pub(super) fn kind(&self) -> EventKind {
         let text = String::from_utf8_lossy(&self.bytes);
         let Some(data) = text.lines().find_map(|line| line.strip_prefix("data:")) else {
-            return Meaning::Other;
+            return EventKind::Other;
         };
         if data.trim() == "[DONE]" {
-            return Meaning::Last;
+            return EventKind::Done;
         }
-        let Ok(chunk) = serde_json::from_str::<Chunk>(data) else {
-            return Meaning::Other;
+        let Ok(chunk) = serde_json::from_str::<CompletionChunk>(data) else {
+            return EventKind::Other;
         };
         match chunk.usage {
-            Some(usage) => Meaning::Usage(usage),
-            None if chunk.choices.is_empty() => Meaning::Other,
-            None => Meaning::Token,
+            Some(usage) => EventKind::Usage(usage),
+            None if chunk.choices.is_empty() => EventKind::Other,
+            None => EventKind::Token,
         }
     }
 }
--- a/src/coltsfootnotch/daemon/sidecar/upstream_call.rs
+++ b/src/coltsfootnotch/daemon/sidecar/upstream_call.rs
@@ -1,4 +1,4 @@
-//! One call to an upstream, on a thread of its own: the HTTP client is a blocking one.
+//! Calls an upstream over HTTP with a blocking client, on a thread for each call.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -12,35 +12,35 @@
 use ureq::Agent;
 use ureq::http::{Request, Response};
 
-use super::sse::{ChunkUsage, Meaning, SseCutter};
+use super::sse::{EventKind, SseSplitter, TokenUsage};
 
-/// Time to connect: the upstream is on the same host or next to it.
+/// Time to connect; the upstream is on the same host or close to it.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest silence within an answer before the upstream counts as hung.
+/// Maximum time between two reads of a response before the upstream counts as hung.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes read at once.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 16 * 1024;
-/// Largest answer that is not a stream, in bytes.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
+/// Maximum size in bytes of a response that is not a stream.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// What comes from an upstream.
+/// A part of the response of an upstream.
 #[derive(Debug)]
-pub(super) enum Part {
-    /// Nothing was sent: the upstream can't be connected to.
+pub(super) enum ResponsePart {
+    /// Nothing was sent, since the connection to the upstream failed.
     NotReached,
-    /// Status and content type.
+    /// Status and content type of the response.
     Head { status: u16, content_type: String },
-    /// A piece, and how many tokens it stands for.
-    Piece { data: Vec<u8>, tokens: u64 },
-    /// The token counts that the upstream states.
-    Usage(ChunkUsage),
-    /// The answer is whole.
+    /// A chunk of the body, and the number of tokens in it.
+    Chunk { data: Vec<u8>, tokens: u64 },
+    /// Token counts that the upstream reports.
+    Usage(TokenUsage),
+    /// The response is complete.
     Done,
-    /// It won't be completed.
+    /// The response failed.
     Failed(FailReason),
 }
 
-/// A call that is to be made.
+/// A call to an upstream.
 pub(super) struct UpstreamCall {
     pub(super) agent: Agent,
     pub(super) address: SocketAddr,
@@ -48,20 +48,20 @@
     pub(super) call: Call,
     pub(super) deadline: Duration,
     pub(super) cancelled: Arc<AtomicBool>,
-    pub(super) parts: mpsc::Sender<Part>,
-    /// Tokens that were received before the connection broke, for an engine that can resume.
+    pub(super) parts: mpsc::Sender<ResponsePart>,
+    /// Number of tokens received before the connection broke, for an engine that can resume.
     pub(super) resume_from: u64,
 }
 
-/// Bytes buffered for reading and for writing of one call; the library's own would be 256 KiB a
-/// stream, four times what a stream may cost.
+/// Size in bytes of the read and of the write buffer of a call. The library's default of 256 KiB a
+/// stream exceeds the memory budget of a stream.
 const BUFFER_BYTES: usize = 16 * 1024;
-/// Idle connections kept to one upstream.
-const IDLE_CONNECTIONS: usize = 64;
-/// An upstream closes idle connections in its own time; ours are dropped well before the usual 5 s.
-const IDLE_AGE: Duration = Duration::from_secs(2);
+/// Maximum number of idle connections to one upstream.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+/// Maximum age of an idle connection; well below the usual 5 s after which upstreams close them.
+const MAX_IDLE_AGE: Duration = Duration::from_secs(2);
 
-/// The clients of one sidecar.
+/// The HTTP clients of a sidecar.
 #[derive(Clone)]
 pub(super) struct Clients {
     pooled: Agent,
@@ -71,17 +71,17 @@
 impl Clients {
     pub(super) fn new() -> Self {
         Self {
-            pooled: agent(IDLE_CONNECTIONS),
-            fresh: agent(0),
+            pooled: build_agent(MAX_IDLE_CONNECTIONS),
+            fresh: build_agent(0),
         }
     }
 
-    /// The client for a call.
+    /// Returns the client for a call.
     ///
-    /// A connection that was kept can be closed by the upstream just as a call is sent on it, and
-    /// then nothing tells whether the call was read. A call that may not be repeated gets a new one,
-    /// on which a refusal to connect proves that it was not.
-    pub(super) fn of_call(&self, repeatable: bool) -> Agent {
+    /// An upstream may close an idle connection just as a call is sent on it, which leaves unknown
+    /// whether the call was received. A call that is not repeatable therefore gets a new
+    /// connection, where a failed connect proves that it was not.
+    pub(super) fn for_call(&self, repeatable: bool) -> Agent {
         let agent = if repeatable {
             &self.pooled
         } else {
@@ -91,7 +91,7 @@
     }
 }
 
-fn agent(idle: usize) -> Agent {
+fn build_agent(max_idle: usize) -> Agent {
     Agent::config_builder()
         .http_status_as_error(false)
         .timeout_connect(Some(CONNECT_TIMEOUT))
@@ -99,30 +99,31 @@
         .no_delay(true)
         .input_buffer_size(BUFFER_BYTES)
         .output_buffer_size(BUFFER_BYTES)
-        .max_idle_connections_per_host(idle)
-        .max_idle_age(IDLE_AGE)
+        .max_idle_connections_per_host(max_idle)
+        .max_idle_age(MAX_IDLE_AGE)
         .build()
         .into()
 }
 
 #[derive(Deserialize)]
-struct WholeAnswer {
-    usage: Option<ChunkUsage>,
+struct CompleteResponse {
+    usage: Option<TokenUsage>,
 }
 
 impl UpstreamCall {
-    /// Makes the call and sends its parts; returns when it has ended.
+    /// Makes the call and sends the parts of the response; returns once it has finished.
     pub(super) fn run(self) {
-        let outcome = self.request();
-        let last = match outcome {
-            Ok(response) if is_event_stream(&response) => self.stream(response),
-            Ok(response) => self.whole(response),
+        let result = self.send_request();
+        let last = match result {
+            Ok(response) if is_event_stream(&response) => self.forward_stream(response),
+            Ok(response) => self.forward_body(response),
             Err(e) => self.classify(&e),
         };
-        let _entry_may_have_gone = self.parts.blocking_send(last);
+        // The receiver is dropped if the attempt was abandoned.
+        let _sent = self.parts.blocking_send(last);
     }
 
-    fn request(&self) -> Result<Response<ureq::Body>, ureq::Error> {
+    fn send_request(&self) -> Result<Response<ureq::Body>, ureq::Error> {
         let uri = format!("http://{}{}", self.address, self.call.path);
         let mut builder = Request::builder()
             .method(self.call.method.as_str())
@@ -137,27 +138,27 @@
         if self.resume_from > 0 {
             builder = builder.header("x-resume-from", self.resume_from);
         }
-        let wait = self.deadline.max(CONNECT_TIMEOUT);
+        let timeout = self.deadline.max(CONNECT_TIMEOUT);
         let req = builder.body(self.call.body.clone())?;
         let req = self
             .agent
             .configure_request(req)
-            .timeout_recv_response(Some(wait))
+            .timeout_recv_response(Some(timeout))
             .build();
         self.agent.run(req)
     }
 
-    fn classify(&self, error: &ureq::Error) -> Part {
+    fn classify(&self, error: &ureq::Error) -> ResponsePart {
         match error {
             ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect) => {
-                Part::NotReached
+                ResponsePart::NotReached
             }
             ureq::Error::Io(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
-                Part::NotReached
+                ResponsePart::NotReached
             }
-            ureq::Error::Timeout(_) => Part::Failed(FailReason::UpstreamTimeout),
-            _ if self.is_cancelled() => Part::Failed(FailReason::Cancelled),
-            _ => Part::Failed(FailReason::UpstreamBroke),
+            ureq::Error::Timeout(_) => ResponsePart::Failed(FailReason::UpstreamTimeout),
+            _ if self.is_cancelled() => ResponsePart::Failed(FailReason::Cancelled),
+            _ => ResponsePart::Failed(FailReason::UpstreamBroke),
         }
     }
 
@@ -165,54 +166,58 @@
         self.cancelled.load(Ordering::Relaxed)
     }
 
-    fn send(&self, part: Part) -> Result<(), Part> {
-        let gone = |_| Part::Failed(FailReason::Cancelled);
-        self.parts.blocking_send(part).map_err(gone)
+    fn send(&self, part: ResponsePart) -> Result<(), ResponsePart> {
+        let cancelled = |_| ResponsePart::Failed(FailReason::Cancelled);
+        self.parts.blocking_send(part).map_err(cancelled)
     }
 
-    fn head(&self, response: &Response<ureq::Body>) -> Result<(), Part> {
+    fn send_head(&self, response: &Response<ureq::Body>) -> Result<(), ResponsePart> {
         let content_type = response.headers().get("content-type");
         let content_type = content_type
             .and_then(|value| value.to_str().ok())
             .unwrap_or_default();
         let status = response.status().as_u16();
-        self.send(Part::Head {
+        self.send(ResponsePart::Head {
             status,
             content_type: content_type.to_owned(),
         })
     }
 
-    fn stream(&self, response: Response<ureq::Body>) -> Part {
-        self.try_stream(response).unwrap_or_else(|part| part)
+    fn forward_stream(&self, response: Response<ureq::Body>) -> ResponsePart {
+        self.try_forward_stream(response)
+            .unwrap_or_else(|part| part)
     }
 
-    fn try_stream(&self, response: Response<ureq::Body>) -> Result<Part, Part> {
-        self.head(&response)?;
+    fn try_forward_stream(
+        &self,
+        response: Response<ureq::Body>,
+    ) -> Result<ResponsePart, ResponsePart> {
+        self.send_head(&response)?;
         let mut reader = response.into_body().into_reader();
-        let mut cutter = SseCutter::default();
-        let mut last_seen = false;
+        let mut splitter = SseSplitter::default();
+        let mut has_done_event = false;
         let mut buf = [0; READ_BYTES];
         loop {
             let len = self.read(&mut reader, &mut buf)?;
             if len == 0 {
-                let whole = last_seen && cutter.is_empty();
-                return Ok(if whole {
-                    Part::Done
+                let is_complete = has_done_event && splitter.is_empty();
+                return Ok(if is_complete {
+                    ResponsePart::Done
                 } else {
-                    Part::Failed(FailReason::UpstreamBroke)
+                    ResponsePart::Failed(FailReason::UpstreamBroke)
                 });
             }
-            let events = cutter
+            let events = splitter
                 .push(&buf[..len])
-                .ok_or(Part::Failed(FailReason::UpstreamBroke))?;
+                .ok_or(ResponsePart::Failed(FailReason::UpstreamBroke))?;
             for event in events {
-                let meaning = event.meaning();
-                last_seen |= meaning == Meaning::Last;
-                let tokens = u64::from(meaning == Meaning::Token);
-                if let Meaning::Usage(usage) = meaning {
-                    self.send(Part::Usage(usage))?;
+                let kind = event.kind();
+                has_done_event |= kind == EventKind::Done;
+                let tokens = u64::from(kind == EventKind::Token);
+                if let EventKind::Usage(usage) = kind {
+                    self.send(ResponsePart::Usage(usage))?;
                 }
-                self.send(Part::Piece {
+                self.send(ResponsePart::Chunk {
                     data: event.bytes,
                     tokens,
                 })?;
@@ -220,12 +225,15 @@
         }
     }
 
-    fn whole(&self, response: Response<ureq::Body>) -> Part {
-        self.try_whole(response).unwrap_or_else(|part| part)
+    fn forward_body(&self, response: Response<ureq::Body>) -> ResponsePart {
+        self.try_forward_body(response).unwrap_or_else(|part| part)
     }
 
-    fn try_whole(&self, response: Response<ureq::Body>) -> Result<Part, Part> {
-        self.head(&response)?;
+    fn try_forward_body(
+        &self,
+        response: Response<ureq::Body>,
+    ) -> Result<ResponsePart, ResponsePart> {
+        self.send_head(&response)?;
         let mut reader = response.into_body().into_reader();
         let mut body = Vec::new();
         let mut buf = [0; READ_BYTES];
@@ -235,39 +243,39 @@
                 break;
             }
             body.extend_from_slice(&buf[..len]);
-            if body.len() > MAX_ANSWER {
-                return Err(Part::Failed(FailReason::UpstreamBroke));
+            if body.len() > MAX_RESPONSE_BYTES {
+                return Err(ResponsePart::Failed(FailReason::UpstreamBroke));
             }
         }
-        if let Ok(WholeAnswer { usage: Some(usage) }) = serde_json::from_slice(&body) {
-            self.send(Part::Usage(usage))?;
+        if let Ok(CompleteResponse { usage: Some(usage) }) = serde_json::from_slice(&body) {
+            self.send(ResponsePart::Usage(usage))?;
         }
-        self.send(Part::Piece {
+        self.send(ResponsePart::Chunk {
             data: body,
             tokens: 0,
         })?;
-        Ok(Part::Done)
+        Ok(ResponsePart::Done)
     }
 
-    fn read(&self, reader: &mut impl Read, buf: &mut [u8]) -> Result<usize, Part> {
+    fn read(&self, reader: &mut impl Read, buf: &mut [u8]) -> Result<usize, ResponsePart> {
         if self.is_cancelled() {
-            return Err(Part::Failed(FailReason::Cancelled));
+            return Err(ResponsePart::Failed(FailReason::Cancelled));
         }
         reader.read(buf).map_err(|e| match e.kind() {
-            _ if self.is_cancelled() => Part::Failed(FailReason::Cancelled),
+            _ if self.is_cancelled() => ResponsePart::Failed(FailReason::Cancelled),
             std::io::ErrorKind::TimedOut | std::io::ErrorKind::WouldBlock => {
-                Part::Failed(FailReason::UpstreamTimeout)
+                ResponsePart::Failed(FailReason::UpstreamTimeout)
             }
-            _ => Part::Failed(FailReason::UpstreamBroke),
+            _ => ResponsePart::Failed(FailReason::UpstreamBroke),
         })
     }
 }
 
-/// Tells an engine that can cancel to end an attempt.
+/// Requests an engine that supports it to cancel an attempt.
 pub(super) fn cancel(agent: &Agent, address: SocketAddr, attempt: AttemptId) {
     let uri = format!("http://{address}/v1/attempts/{attempt}");
-    // An engine that can't be reached has ended the attempt by itself.
-    let _ended = agent.delete(uri).call();
+    // An unreachable engine no longer runs the attempt.
+    let _response = agent.delete(uri).call();
 }
 
 fn is_event_stream(response: &Response<ureq::Body>) -> bool {
--- a/src/coltsfootnotch/daemon/sidecar/upstreams.rs
+++ b/src/coltsfootnotch/daemon/sidecar/upstream_table.rs
@@ -1,4 +1,4 @@
-//! What a sidecar knows of its upstreams besides their slots.
+//! Table of the upstreams of a sidecar: addresses, capabilities and states, but not their slots.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::announce::{Announcement, CacheOp, Capabilities};
 
-/// One upstream; its life follows the chart `upstream`.
+/// One upstream; its state machine follows the chart `upstream`.
 #[derive(Debug, Clone)]
 pub(super) struct Upstream {
     pub(super) address: SocketAddr,
@@ -27,38 +27,42 @@
 
 /// Upstreams by name.
 #[derive(Debug)]
-pub(super) struct Upstreams {
+pub(super) struct UpstreamTable {
     chart: Arc<Chart>,
-    known: BTreeMap<UpstreamName, Upstream>,
+    by_name: BTreeMap<UpstreamName, Upstream>,
 }
 
 /// What an announcement changed.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Announced {
-    New,
-    Leaving,
-    Same,
-    /// There are as many upstreams as the sidecar takes.
-    TooMany,
+pub(super) enum AnnouncementEffect {
+    Added,
+    StartedLeaving,
+    Unchanged,
+    /// The upstream was not added, since the table has reached its limit.
+    LimitReached,
 }
 
-impl Upstreams {
+impl UpstreamTable {
     pub(super) fn new(chart: Arc<Chart>) -> Self {
         Self {
             chart,
-            known: BTreeMap::new(),
+            by_name: BTreeMap::new(),
         }
     }
 
-    /// Takes in an announcement.
-    pub(super) fn announce(&mut self, announcement: &Announcement, most: usize) -> Announced {
-        let is_new = !self.known.contains_key(&announcement.name);
-        if is_new && self.known.len() >= most {
-            return Announced::TooMany;
+    /// Adds or updates an upstream; adds none beyond `limit`.
+    pub(super) fn apply_announcement(
+        &mut self,
+        announcement: &Announcement,
+        limit: usize,
+    ) -> AnnouncementEffect {
+        let is_new = !self.by_name.contains_key(&announcement.name);
+        if is_new && self.by_name.len() >= limit {
+            return AnnouncementEffect::LimitReached;
         }
         let machine = Machine::new(&self.chart);
         let upstream = self
-            .known
+            .by_name
             .entry(announcement.name.clone())
             .or_insert(Upstream {
                 address: announcement.address,
@@ -74,48 +78,53 @@
             false => UpstreamEvent::Announced,
         });
         match (is_new, announcement.leaving && !was_leaving) {
-            (_, true) => Announced::Leaving,
-            (true, false) => Announced::New,
-            (false, false) => Announced::Same,
+            (_, true) => AnnouncementEffect::StartedLeaving,
+            (true, false) => AnnouncementEffect::Added,
+            (false, false) => AnnouncementEffect::Unchanged,
         }
     }
 
-    /// Moves an upstream on.
+    /// Applies an event to the state machine of an upstream.
     pub(super) fn fire(&mut self, name: &UpstreamName, event: UpstreamEvent) {
-        if let Some(upstream) = self.known.get_mut(name) {
+        if let Some(upstream) = self.by_name.get_mut(name) {
             upstream.fire(event);
         }
     }
 
-    /// Prefixes that were cached since the last announcement; late and doubled events are skipped.
-    pub(super) fn cached(&mut self, announcement: &Announcement) -> Vec<u64> {
-        let Some(upstream) = self.known.get_mut(&announcement.name) else {
+    /// Returns the digests of the prefixes cached since the previous announcement. Late and
+    /// duplicate events are skipped.
+    pub(super) fn new_cached_prefixes(&mut self, announcement: &Announcement) -> Vec<u64> {
+        let Some(upstream) = self.by_name.get_mut(&announcement.name) else {
             return vec![];
         };
         let last = upstream.last_cache_event;
         let events = announcement.cache_events.iter();
         let new = events.filter(|event| event.seq > last);
-        let cached = new.clone().filter(|event| event.op == CacheOp::Add);
-        let digests = cached.filter_map(|event| u64::from_str_radix(&event.prefix, 16).ok());
+        let added = new.clone().filter(|event| event.op == CacheOp::Add);
+        let digests = added.filter_map(|event| u64::from_str_radix(&event.prefix, 16).ok());
         let digests = digests.collect();
         upstream.last_cache_event = new.map(|event| event.seq).max().unwrap_or(last);
         digests
     }
 
     pub(super) fn get(&self, name: &UpstreamName) -> Option<&Upstream> {
-        self.known.get(name)
+        self.by_name.get(name)
     }
 
-    /// Forgets upstreams that are no longer listed; the names of those that fell silent unannounced.
-    pub(super) fn retain(&mut self, listed: impl Fn(&UpstreamName) -> bool) -> Vec<UpstreamName> {
+    /// Removes the upstreams for which `is_listed` is false. Returns the names of those that fell
+    /// silent without having announced that they leave.
+    pub(super) fn retain(
+        &mut self,
+        is_listed: impl Fn(&UpstreamName) -> bool,
+    ) -> Vec<UpstreamName> {
         let mut silent = Vec::new();
-        self.known.retain(|name, upstream| {
-            if listed(name) {
+        self.by_name.retain(|name, upstream| {
+            if is_listed(name) {
                 return true;
             }
-            let known_down = upstream.machine.is(UpstreamState::Unreachable);
+            let was_unreachable = upstream.machine.is(UpstreamState::Unreachable);
             upstream.fire(UpstreamEvent::AnnouncementExpired);
-            if !known_down && upstream.machine.is(UpstreamState::Silent) {
+            if !was_unreachable && upstream.machine.is(UpstreamState::Silent) {
                 silent.push(name.clone());
             }
             false
