--- a/src/coltsfootnotch/daemon/sidecar/actor.rs
+++ b/src/coltsfootnotch/daemon/sidecar/actor.rs
@@ -16,7 +16,7 @@
 use super::SidecarConfig;
 use super::announcement_handlers::process_id;
 use super::handle::Started;
-use super::orders::{OrderEnd, Orders};
+use super::orders::{EngineOrders, OrderOutcome};
 use super::runner::RunnerHandle;
 use super::service_reports::ServiceReports;
 use super::sockets::{AnnounceServer, fabric_handler, start_announce_server};
@@ -66,7 +66,7 @@
     },
     OrderFinished {
         upstream: UpstreamName,
-        end: OrderEnd,
+        outcome: OrderOutcome,
     },
     Stop,
 }
@@ -81,11 +81,11 @@
     pub(super) relay: RelayClient,
     pub(super) reports: ServiceReports,
     pub(super) probing: BTreeSet<UpstreamName>,
-    pub(super) orders: Orders,
+    pub(super) orders: EngineOrders,
     pub(super) clients: Clients,
     pub(super) tx: Channel<SidecarMsg>,
     endpoint: Endpoint,
-    fleet: SocketAddr,
+    fleet_address: SocketAddr,
     life: Lifecycle,
     _guard: ChannelGuard,
     _announce_server: AnnounceServer,
@@ -124,19 +124,19 @@
         let handler = fabric_handler(&cx, &tx);
         let endpoint = Endpoint::bind(
             &cx.runtime,
-            cfg.fleet,
+            cfg.fleet_address,
             &cfg.credentials,
             local_incarnation,
             handler,
         )?;
-        let fleet = endpoint.address()?;
-        let (announce, announce_server) = start_announce_server(&cx, &cfg, &tx)?;
+        let fleet_address = endpoint.address()?;
+        let (announce_address, announce_server) = start_announce_server(&cx, &cfg, &tx)?;
         let charts = Charts::load()?;
         let life = Lifecycle::new(cx.clone(), &charts.daemon, cfg.shutdown);
         let started = Started {
             tx: tx.clone(),
-            announce,
-            fleet,
+            announce_address,
+            fleet_address,
             ready: life.ready(),
             traffic: endpoint.traffic(),
         };
@@ -153,20 +153,20 @@
             relay: RelayClient::new(cx.clone(), cfg.control.clone()),
             reports: ServiceReports::default(),
             probing: BTreeSet::new(),
-            orders: Orders::new(process_id(&cx), cfg.drift),
+            orders: EngineOrders::new(process_id(&cx), cfg.drift),
             clients: Clients::new(),
             cx,
             cfg,
             tx,
             endpoint,
-            fleet,
+            fleet_address,
             life,
             _guard: guard,
             _announce_server: announce_server,
         };
         actor.cx.log(
             &events::DAEMON_STARTED,
-            &[("announce", &announce), ("fleet", &fleet)],
+            &[("announce", &announce_address), ("fleet", &fleet_address)],
         );
         Ok((actor, started))
     }
@@ -201,7 +201,9 @@
                 outcome,
             } => self.on_attempt_finished(attempt, usage, outcome),
             SidecarMsg::RunnerExited { attempt } => drop(self.attempts.remove(&attempt)),
-            SidecarMsg::OrderFinished { upstream, end } => self.on_order_finished(&upstream, end),
+            SidecarMsg::OrderFinished { upstream, outcome } => {
+                self.on_order_finished(&upstream, outcome);
+            }
             SidecarMsg::Stop => self.on_stop(),
         }
         self.run_actions();
@@ -229,7 +231,7 @@
             incarnation: self.cx.identity.incarnation,
             role: Role::Sidecar,
             domain: self.cx.identity.domain.clone(),
-            address: self.fleet,
+            address: self.fleet_address,
             config: self.relay.config_number(),
             pools: pools
                 .into_iter()
@@ -326,7 +328,7 @@
                 self.core.fair_ledger_mut().merge_remote(totals);
             }
             RelayNews::ServiceApplied(seq) => self.reports.on_acknowledged(seq),
-            RelayNews::Proposed { id, reply } => self.orders.answered(self.cx.now(), id, &reply),
+            RelayNews::Proposed { id, reply } => self.orders.on_reply(self.cx.now(), id, &reply),
             RelayNews::Hosts { .. } => {}
         }
     }
--- a/src/coltsfootnotch/daemon/sidecar/announcement_handlers.rs
+++ b/src/coltsfootnotch/daemon/sidecar/announcement_handlers.rs
@@ -9,7 +9,7 @@
 use coltsfootnotch_wire::announce::Announcement;
 
 use super::actor::{SidecarActor, SidecarMsg};
-use super::orders::{self, OrderEnd};
+use super::orders::{self, OrderOutcome};
 use super::upstream_table::AnnouncementEffect;
 use crate::core::HostCx;
 use crate::util::events;
@@ -41,7 +41,7 @@
         }
         let digests = self.upstreams.new_cached_prefixes(announcement);
         self.core.add_cached_prefixes(&announcement.pool, &digests);
-        self.orders.announced(now, announcement);
+        self.orders.on_announcement(now, announcement);
         let update = UpstreamUpdate {
             live_until: now + announcement.ttl,
             leaving: announcement.leaving || !self.serves_pool(announcement),
@@ -72,7 +72,7 @@
     fn serves_pool(&self, announcement: &Announcement) -> bool {
         let config = self.relay.config();
         let model = config.and_then(|config| config.model(announcement.pool.as_str()));
-        model.is_none_or(|model| orders::serves(model, &announcement.models))
+        model.is_none_or(|model| orders::can_serve_pool(model, &announcement.models))
     }
 
     /// Sends the orders that are due.
@@ -92,15 +92,18 @@
             );
             let tx = self.tx.clone();
             self.cx.runtime.spawn_blocking(move || {
-                let end = call.run();
-                tx.send(SidecarMsg::OrderFinished { upstream, end });
+                let outcome = call.run();
+                tx.send(SidecarMsg::OrderFinished { upstream, outcome });
             });
         }
     }
 
     /// Handles the outcome of an order.
-    pub(super) fn on_order_finished(&mut self, upstream: &UpstreamName, end: OrderEnd) {
-        let Some(order) = self.orders.ended(self.cx.now(), upstream, end) else {
+    pub(super) fn on_order_finished(&mut self, upstream: &UpstreamName, outcome: OrderOutcome) {
+        let Some(order) = self
+            .orders
+            .on_order_finished(self.cx.now(), upstream, outcome)
+        else {
             return;
         };
         if order.changes_version {
@@ -110,10 +113,10 @@
                 .into_iter()
                 .for_each(|slots| slots.on_version_change(now));
         }
-        let event = match end {
-            OrderEnd::Done => &events::ORDER_DONE,
-            OrderEnd::OldNumber => &events::ORDER_REFUSED,
-            OrderEnd::Status(_) | OrderEnd::NoAnswer => &events::ORDER_FAILED,
+        let event = match outcome {
+            OrderOutcome::Done => &events::ORDER_DONE,
+            OrderOutcome::StaleNumber => &events::ORDER_REFUSED,
+            OrderOutcome::Status(_) | OrderOutcome::NoResponse => &events::ORDER_FAILED,
         };
         self.cx.log(
             event,
@@ -121,7 +124,7 @@
                 ("upstream", &order.upstream),
                 ("name", &order.name),
                 ("fence", &order.fence),
-                ("end", &order.end),
+                ("end", &order.outcome),
             ],
         );
     }
--- a/src/coltsfootnotch/daemon/sidecar/config.rs
+++ b/src/coltsfootnotch/daemon/sidecar/config.rs
@@ -13,9 +13,9 @@
 /// Configuration of a sidecar.
 pub struct SidecarConfig {
     /// Address of the fleet endpoint (UDP).
-    pub fleet: SocketAddr,
+    pub fleet_address: SocketAddr,
     /// Loopback address for announcements.
-    pub announce: SocketAddr,
+    pub announce_address: SocketAddr,
     /// The control hosts.
     pub control: Vec<ControlAddress>,
     /// Certificate and private key of the sidecar.
--- a/src/coltsfootnotch/daemon/sidecar/handle.rs
+++ b/src/coltsfootnotch/daemon/sidecar/handle.rs
@@ -19,8 +19,8 @@
 pub struct SidecarHandle {
     tx: Channel<SidecarMsg>,
     thread: JoinHandle<()>,
-    announce: SocketAddr,
-    fleet: SocketAddr,
+    announce_address: SocketAddr,
+    fleet_address: SocketAddr,
     ready: Arc<AtomicBool>,
     traffic: Arc<Traffic>,
 }
@@ -28,14 +28,14 @@
 impl SidecarHandle {
     /// The bound address for announcements.
     #[must_use]
-    pub fn announce(&self) -> SocketAddr {
-        self.announce
+    pub fn announce_address(&self) -> SocketAddr {
+        self.announce_address
     }
 
     /// The bound address of the fleet endpoint.
     #[must_use]
-    pub fn fleet(&self) -> SocketAddr {
-        self.fleet
+    pub fn fleet_address(&self) -> SocketAddr {
+        self.fleet_address
     }
 
     /// Counters of the control traffic.
@@ -59,7 +59,7 @@
 
     /// Returns a closure for the readiness probe: whether the sidecar has a configuration and is
     /// not shutting down.
-    pub fn ready(&self) -> impl Fn() -> bool + Send + Sync + 'static + use<> {
+    pub fn readiness(&self) -> impl Fn() -> bool + Send + Sync + 'static + use<> {
         let ready = Arc::clone(&self.ready);
         move || ready.load(Ordering::Relaxed)
     }
@@ -89,8 +89,8 @@
     Ok(SidecarHandle {
         tx: started.tx,
         thread,
-        announce: started.announce,
-        fleet: started.fleet,
+        announce_address: started.announce_address,
+        fleet_address: started.fleet_address,
         ready: started.ready,
         traffic: started.traffic,
     })
@@ -99,8 +99,8 @@
 /// What the sidecar's thread returns once it runs.
 pub(super) struct Started {
     pub(super) tx: Channel<SidecarMsg>,
-    pub(super) announce: SocketAddr,
-    pub(super) fleet: SocketAddr,
+    pub(super) announce_address: SocketAddr,
+    pub(super) fleet_address: SocketAddr,
     pub(super) ready: Arc<AtomicBool>,
     pub(super) traffic: Arc<Traffic>,
 }
--- a/src/coltsfootnotch/daemon/sidecar/orders/call.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/call.rs
@@ -27,24 +27,24 @@
 
 /// How an order ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// The engine has executed the order.
     #[display("done")]
     Done,
     /// The engine has seen a higher fencing number.
     #[display("old fencing number")]
-    OldNumber,
+    StaleNumber,
     /// The engine answered with another status.
     #[display("status {_0}")]
     Status(u16),
     /// No response arrived in time, or the engine is unreachable.
     #[display("no answer")]
-    NoAnswer,
+    NoResponse,
 }
 
 impl OrderCall {
     /// Sends the order and blocks the thread until it has finished.
-    pub fn run(&self) -> OrderEnd {
+    pub fn run(&self) -> OrderOutcome {
         let agent: Agent = Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(self.timeout))
@@ -60,10 +60,10 @@
             .header("content-type", "application/json")
             .send(Value::Object(body).to_string());
         match response.map(|response| response.status().as_u16()) {
-            Ok(200..=299) => OrderEnd::Done,
-            Ok(409) => OrderEnd::OldNumber,
-            Ok(status) => OrderEnd::Status(status),
-            Err(_) => OrderEnd::NoAnswer,
+            Ok(200..=299) => OrderOutcome::Done,
+            Ok(409) => OrderOutcome::StaleNumber,
+            Ok(status) => OrderOutcome::Status(status),
+            Err(_) => OrderOutcome::NoResponse,
         }
     }
 }
--- a/src/coltsfootnotch/daemon/sidecar/orders/mod.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/mod.rs
@@ -26,17 +26,17 @@
 use coltsfootnotch_wire::ProposeError;
 use coltsfootnotch_wire::announce::{Announcement, UpstreamKind};
 
-pub use call::{OrderCall, OrderEnd};
+pub use call::{OrderCall, OrderOutcome};
 use engine::{Engine, StepCx};
 use lease_set::LeaseSet;
-pub use names::serves;
+pub use names::can_serve_pool;
 use pending_records::PendingRecords;
 
 /// Time that a stopping sidecar waits for its releases; unreleased leases expire.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Decides on and tracks the orders to the engines of one sidecar.
-pub struct Orders {
+pub struct EngineOrders {
     engines: BTreeMap<UpstreamName, Engine>,
     leases: LeaseSet,
     records: PendingRecords,
@@ -44,7 +44,7 @@
 }
 
 /// What to log of a finished order.
-pub struct EndedOrder {
+pub struct FinishedOrder {
     /// Name of the upstream.
     pub upstream: UpstreamName,
     /// Name of the version or adapter, or the role.
@@ -54,10 +54,10 @@
     /// Whether the engine now serves another version.
     pub changes_version: bool,
     /// Outcome of the order.
-    pub end: OrderEnd,
+    pub outcome: OrderOutcome,
 }
 
-impl Orders {
+impl EngineOrders {
     /// Creates the state of a sidecar without engines.
     #[must_use]
     pub fn new(me: ProcessId, drift: DriftBound) -> Self {
@@ -70,7 +70,7 @@
     }
 
     /// Handles an announcement. Services and leaving engines get no orders.
-    pub fn announced(&mut self, now: Duration, announcement: &Announcement) {
+    pub fn on_announcement(&mut self, now: Duration, announcement: &Announcement) {
         if announcement.kind != UpstreamKind::Engine || self.stopped_at.is_some() {
             return;
         }
@@ -141,23 +141,23 @@
     }
 
     /// Handles the reply to a proposal.
-    pub fn answered(&mut self, now: Duration, id: u64, reply: &Result<Vec<u8>, ProposeError>) {
+    pub fn on_reply(&mut self, now: Duration, id: u64, reply: &Result<Vec<u8>, ProposeError>) {
         if !self.leases.on_reply(now, id, reply) {
             self.records.on_reply(id, reply);
         }
     }
 
     /// Handles the outcome of an order; returns what to log, or `None` if no such order is pending.
-    pub fn ended(
+    pub fn on_order_finished(
         &mut self,
         now: Duration,
         upstream: &UpstreamName,
-        end: OrderEnd,
-    ) -> Option<EndedOrder> {
+        outcome: OrderOutcome,
+    ) -> Option<FinishedOrder> {
         let engine = self.engines.get_mut(upstream)?;
         let order = engine.pending.take()?;
-        match end {
-            OrderEnd::Done => {
+        match outcome {
+            OrderOutcome::Done => {
                 engine.on_success(now, order.action.clone());
                 self.records.add(OrderDone {
                     lease: engine.lease.clone(),
@@ -167,19 +167,19 @@
                     action: order.action,
                 });
             }
-            OrderEnd::OldNumber => {
+            OrderOutcome::StaleNumber => {
                 // Another process was granted the lease meanwhile, so this one must stop using it.
                 self.leases.release(&engine.lease);
                 engine.on_failure(now);
             }
-            OrderEnd::Status(_) | OrderEnd::NoAnswer => engine.on_failure(now),
+            OrderOutcome::Status(_) | OrderOutcome::NoResponse => engine.on_failure(now),
         }
-        Some(EndedOrder {
+        Some(FinishedOrder {
             upstream: upstream.clone(),
             name: order.name,
             fence: order.fence.0,
-            changes_version: order.changes_version && end == OrderEnd::Done,
-            end,
+            changes_version: order.changes_version && outcome == OrderOutcome::Done,
+            outcome,
         })
     }
 
--- a/src/coltsfootnotch/daemon/sidecar/orders/names.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/names.rs
@@ -74,16 +74,16 @@
 /// Whether an engine lists what it needs to serve its pool. An engine that lists nothing passes.
 ///
 /// ```
-/// use coltsfootnotch::daemon::sidecar::orders::serves;
+/// use coltsfootnotch::daemon::sidecar::orders::can_serve_pool;
 /// use coltsfootnotch::ops::fleet::FleetPlan;
 /// let manifest = FleetPlan::demo().manifest()?;
 /// let model = &manifest.models[0];
-/// assert!(serves(model, &["spec-llm:v1".to_owned()]));
-/// assert!(!serves(model, &["embeddings".to_owned()]));
+/// assert!(can_serve_pool(model, &["spec-llm:v1".to_owned()]));
+/// assert!(!can_serve_pool(model, &["embeddings".to_owned()]));
 /// # Ok::<(), coltsfootnotch_manifest::Findings>(())
 /// ```
 #[must_use]
-pub fn serves(model: &Model, listed: &[String]) -> bool {
+pub fn can_serve_pool(model: &Model, listed: &[String]) -> bool {
     let is_version = |name: &String| {
         let version = name.strip_prefix(model.name.as_str());
         version.is_some_and(|rest| rest.starts_with(':') && !rest[1..].contains(':'))
--- a/src/coltsfootnotch/daemon/sidecar/sockets.rs
+++ b/src/coltsfootnotch/daemon/sidecar/sockets.rs
@@ -63,7 +63,9 @@
     cfg: &SidecarConfig,
     tx: &Channel<SidecarMsg>,
 ) -> Result<(SocketAddr, AnnounceServer), StartError> {
-    let listener = cx.runtime.block_on(TcpListener::bind(cfg.announce))?;
+    let listener = cx
+        .runtime
+        .block_on(TcpListener::bind(cfg.announce_address))?;
     let address = listener.local_addr()?;
     let limits = ServerLimits {
         connections: MAX_ANNOUNCE_CONNECTIONS,
--- a/src/coltsfootnotch/ops/fleet/restart.rs
+++ b/src/coltsfootnotch/ops/fleet/restart.rs
@@ -16,7 +16,10 @@
     /// The addresses on which the sidecars take announcements.
     #[must_use]
     pub fn announce_addresses(&self) -> Vec<SocketAddr> {
-        self.sidecars.iter().map(|host| host.announce()).collect()
+        self.sidecars
+            .iter()
+            .map(|host| host.announce_address())
+            .collect()
     }
 
     /// Starts one more sidecar, without an upstream; the address on which it takes announcements.
@@ -30,7 +33,7 @@
     ) -> Result<SocketAddr, FleetError> {
         let any = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 0);
         let handle = self.sidecar(plan, self.sidecars.len(), any, rng)?;
-        let announce = handle.announce();
+        let announce = handle.announce_address();
         self.sidecars.push(handle);
         Ok(announce)
     }
@@ -47,7 +50,7 @@
         rng: &mut impl Rng,
     ) -> Result<(), FleetError> {
         let old = self.sidecars.remove(number);
-        let announce = old.announce();
+        let announce = old.announce_address();
         old.stop();
         old.join();
         // The task that held the address ends a moment after its sidecar.
--- a/src/coltsfootnotch/ops/fleet/running.rs
+++ b/src/coltsfootnotch/ops/fleet/running.rs
@@ -279,23 +279,23 @@
         rng: &mut impl Rng,
     ) -> Result<SocketAddr, FleetError> {
         let handle = self.sidecar(plan, number, ANY, rng)?;
-        let announce = handle.announce();
+        let announce_address = handle.announce_address();
         self.sidecars.push(handle);
-        Ok(announce)
+        Ok(announce_address)
     }
 
     pub(super) fn sidecar(
         &self,
         plan: &FleetPlan,
         number: usize,
-        announce: SocketAddr,
+        announce_address: SocketAddr,
         rng: &mut impl Rng,
     ) -> Result<SidecarHandle, FleetError> {
         let host = host_name("sidecar", number)?;
         let cx = self.cx(Role::Sidecar, &host, plan.domain(number), rng);
         let cfg = SidecarConfig {
-            fleet: ANY,
-            announce,
+            fleet_address: ANY,
+            announce_address,
             control: self.control_addresses.clone(),
             credentials: self.credentials(Role::Sidecar, &host)?,
             limits: self.limits.clone(),
--- a/src/coltsfootnotch/ops/serve.rs
+++ b/src/coltsfootnotch/ops/serve.rs
@@ -167,8 +167,8 @@
 
 fn start_sidecar(cx: &HostCx, settings: &Settings) -> Result<Daemon, ServeError> {
     let cfg = SidecarConfig {
-        fleet: settings.listen.fleet,
-        announce: settings
+        fleet_address: settings.listen.fleet,
+        announce_address: settings
             .listen
             .announce
             .ok_or(ServeError::NoAddress { what: "announce" })?,
@@ -180,7 +180,7 @@
         drift: DriftBound::new(settings.clock_drift_ppm),
     };
     let handle = sidecar::start(cx.clone(), cfg)?;
-    serve_admin(cx, settings, handle.ready())?;
+    serve_admin(cx, settings, handle.readiness())?;
     Ok(Daemon::Sidecar(handle))
 }
 
--- a/tests/testsuite/orders.rs
+++ b/tests/testsuite/orders.rs
@@ -155,7 +155,7 @@
     let manifest = plan(1).manifest().unwrap();
     let serves = |listed: &[&str]| {
         let listed: Vec<String> = listed.iter().map(ToString::to_string).collect();
-        orders::serves(&manifest.models[0], &listed)
+        orders::can_serve_pool(&manifest.models[0], &listed)
     };
     expect_true!(serves(&[]));
     expect_true!(serves(&["embeddings", "spec-llm"]));
--- a/tests/testsuite/orders_random.rs
+++ b/tests/testsuite/orders_random.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use coltsfootnotch::core::{decode_op, encode_reply};
-use coltsfootnotch::daemon::sidecar::orders::{OrderCall, OrderEnd, Orders};
+use coltsfootnotch::daemon::sidecar::orders::{EngineOrders, OrderCall, OrderOutcome};
 use coltsfootnotch::ops::fleet::FleetPlan;
 use coltsfootnotch_manifest::{Adapter, ConfigIndex, Manifest};
 use coltsfootnotch_state::{Command, DriftBound, LogTime, Op, ProcessId, StateMachine};
@@ -31,14 +31,14 @@
 }
 
 struct Process {
-    orders: Orders,
+    orders: EngineOrders,
     me: ProcessId,
     /// Seconds of its clock in one second.
     rate: f64,
     next_id: u64,
     /// Its relay passes nothing on until then.
     cut_until: Duration,
-    order: Option<(Duration, OrderEnd)>,
+    order: Option<(Duration, OrderOutcome)>,
 }
 
 enum Packet {
@@ -67,7 +67,7 @@
         incarnation: Incarnation(rng.random()),
     };
     Process {
-        orders: Orders::new(me.clone(), DriftBound::new(DRIFT_PPM)),
+        orders: EngineOrders::new(me.clone(), DriftBound::new(DRIFT_PPM)),
         me,
         rate: if rng.random() { 0.9 } else { 1.1 },
         next_id: 0,
@@ -146,10 +146,10 @@
         if number.is_multiple_of(20) {
             process
                 .orders
-                .announced(local, &announcement(&["spec-llm"]));
+                .on_announcement(local, &announcement(&["spec-llm"]));
         }
-        if let Some((_, end)) = process.order.take_if(|(until, _)| self.now >= *until) {
-            process.orders.ended(local, &upstream, end);
+        if let Some((_, outcome)) = process.order.take_if(|(until, _)| self.now >= *until) {
+            process.orders.on_order_finished(local, &upstream, outcome);
         }
         let (me, cut) = (process.me.clone(), self.now < process.cut_until);
         let (packets, rng, now) = (&mut self.packets, &mut self.rng, self.now);
@@ -174,11 +174,11 @@
         let takes = call.timeout.mul_f64(self.rng.random_range(0.0..2.0));
         let cut_off = call.timeout.div_f64(self.processes[at].rate);
         let until = self.now + takes.min(cut_off);
-        let end = match takes < cut_off {
-            true => OrderEnd::Done,
-            false => OrderEnd::NoAnswer,
+        let outcome = match takes < cut_off {
+            true => OrderOutcome::Done,
+            false => OrderOutcome::NoResponse,
         };
-        self.processes[at].order = Some((until, end));
+        self.processes[at].order = Some((until, outcome));
         self.seen.push((call.fence.0, self.now, until));
     }
 
@@ -202,7 +202,7 @@
                     let process = self.processes.iter_mut().find(|process| process.me == to);
                     if let Some(process) = process.filter(|process| now >= process.cut_until) {
                         let local = now.mul_f64(process.rate);
-                        process.orders.answered(local, id, &Ok(bytes));
+                        process.orders.on_reply(local, id, &Ok(bytes));
                     }
                 }
             }
@@ -254,7 +254,7 @@
         sim.now += STEP;
         let now = sim.now;
         let orders = &mut sim.processes[at].orders;
-        orders.announced(now, &announcement(models));
+        orders.on_announcement(now, &announcement(models));
         let mut proposed = vec![];
         let propose = |command| {
             proposed.push(command);
@@ -268,7 +268,7 @@
         );
         for (id, command) in (1..).zip(proposed) {
             let reply = sim.commit(decode_op(&command).unwrap());
-            sim.processes[at].orders.answered(now, id, &Ok(reply));
+            sim.processes[at].orders.on_reply(now, id, &Ok(reply));
         }
     }
     given
