--- a/tests/testsuite/processes.rs
+++ b/tests/testsuite/processes.rs
@@ -1,5 +1,5 @@
-//! Whole fleets of real processes: `coltsfootnotchd` from settings files, over real connections,
-//! ended by real signals.
+//! Tests of whole fleets of `coltsfootnotchd` processes, which run from settings files, connect
+//! over the loopback interface and are stopped by signals.
 
 mod caller;
 mod configuration_log;
@@ -10,5 +10,5 @@
 mod relay_loss;
 mod replacement;
 mod resume;
+mod shutdown;
 mod sidecar_loss;
-mod stops;
--- a/tests/testsuite/processes/caller.rs
+++ b/tests/testsuite/processes/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: completions, streams and bookings over HTTP.
+//! HTTP client of a caller: completions, streams and bookings.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,15 +9,15 @@
 use ureq::http::Response;
 use ureq::{Agent, Body};
 
-/// The bearer key of the one client account.
+/// Bearer key of the only client account.
 pub(crate) const KEY: &str = "bistro-key";
-/// Longer than any answer takes.
-const TIMEOUT: Duration = Duration::from_secs(60);
+/// Timeout of a request; longer than any response takes.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Bytes that a slow line holds.
-const SLOW_LINE_BYTES: usize = 16 * 1024;
+/// Receive buffer of a slow connection in bytes.
+const RECEIVE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A caller at one entry.
+/// A caller of one entry.
 #[derive(Clone)]
 pub(crate) struct Caller {
     agent: Agent,
@@ -27,7 +27,7 @@
     model: String,
 }
 
-/// A stream that is being read.
+/// A streamed response that is being read.
 pub(crate) struct Stream {
     reader: BufReader<Box<dyn Read + Send>>,
     pub(crate) text: String,
@@ -37,7 +37,7 @@
     pub(crate) fn new(entry: SocketAddr) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .max_idle_connections_per_host(0)
             .build();
         Self {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The same caller with another bearer key.
+    /// Returns the caller with another bearer key.
     pub(crate) fn with_key(mut self, key: &str) -> Self {
         self.key = key.to_owned();
         self
@@ -69,23 +69,25 @@
         .to_string()
     }
 
-    fn chat(&self, prompt: &str, max_tokens: u32, stream: bool) -> Option<Response<Body>> {
+    fn send_chat(&self, prompt: &str, max_tokens: u32, stream: bool) -> Option<Response<Body>> {
         let body = self.chat_body(prompt, max_tokens, stream);
         let url = format!("http://{}/v1/chat/completions", self.entry);
         let req = self.agent.post(url).header("authorization", self.bearer());
         req.content_type("application/json").send(body).ok()
     }
 
-    /// Status and text of a completion; 0 when the connection broke.
+    /// Returns the status and the text of a completion; the status is 0 if the connection broke.
     pub(crate) fn complete(&self, prompt: &str, max_tokens: u32) -> (u16, String) {
-        let (status, body) = answer(self.chat(prompt, max_tokens, false));
+        let (status, body) = parse_response(self.send_chat(prompt, max_tokens, false));
         let content = body["choices"][0]["message"]["content"].as_str();
         (status, content.unwrap_or_default().to_owned())
     }
 
-    /// Begins a stream and reads its first event.
+    /// Starts a stream and reads its first line.
     pub(crate) fn stream(&self, prompt: &str, max_tokens: u32) -> Stream {
-        let response = self.chat(prompt, max_tokens, true).expect("an answer");
+        let response = self
+            .send_chat(prompt, max_tokens, true)
+            .expect("the entry responds");
         assert_eq!(response.status().as_u16(), 200);
         let reader: Box<dyn Read + Send> = Box::new(response.into_body().into_reader());
         let mut stream = Stream {
@@ -96,14 +98,16 @@
         stream
     }
 
-    /// Begins a stream on a connection that holds few bytes, as over a slow line: what the caller has
-    /// not read yet stays with the entry. The rest of the answer, head included, comes as it is.
+    /// Starts a stream on a connection with a small receive buffer, so that unread data stays at
+    /// the entry. Returns the connection, from which the raw HTTP response is read.
     pub(crate) fn raw_stream(&self, prompt: &str, max_tokens: u32) -> TcpStream {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("the socket is created");
         socket
-            .set_recv_buffer_size(SLOW_LINE_BYTES)
-            .expect("a small buffer");
-        socket.connect(&self.entry.into()).expect("a connection");
+            .set_recv_buffer_size(RECEIVE_BUFFER_BYTES)
+            .expect("the receive buffer is set");
+        socket
+            .connect(&self.entry.into())
+            .expect("the socket connects");
         let mut socket = TcpStream::from(socket);
         let body = self.chat_body(prompt, max_tokens, true);
         let head = format!(
@@ -112,29 +116,34 @@
             self.bearer(),
             body.len()
         );
-        socket.write_all(head.as_bytes()).expect("the head is sent");
-        socket.write_all(body.as_bytes()).expect("the body is sent");
+        socket
+            .write_all(head.as_bytes())
+            .expect("the request head is sent");
+        socket
+            .write_all(body.as_bytes())
+            .expect("the request body is sent");
         socket
     }
 
-    /// Books with a key: status and body; 0 when the connection broke.
+    /// Books with an idempotency key. Returns the status, which is 0 if the connection broke, and
+    /// the body.
     pub(crate) fn book(&self, key: &str) -> (u16, Value) {
         let url = format!("http://{}/{}/orders", self.entry, self.service);
         let req = self.agent.post(url).header("authorization", self.bearer());
         let req = req.header("idempotency-key", key);
         let body = json!({ "pigment": "RAL 7035", "litres": 1 });
-        answer(
+        parse_response(
             req.content_type("application/json")
                 .send(body.to_string())
                 .ok(),
         )
     }
 
-    /// Books with a key, again while the answer says that it was not run or is not known, as a
-    /// member's program does; the body of the answer.
-    pub(crate) fn book_until_made(&self, key: &str) -> Option<Value> {
-        let until = std::time::Instant::now() + super::daemon::PATIENCE;
-        while std::time::Instant::now() < until {
+    /// Books with an idempotency key and retries until the booking is acknowledged or the timeout
+    /// has passed, as a client program does. Returns the body of the response.
+    pub(crate) fn book_until_acknowledged(&self, key: &str) -> Option<Value> {
+        let deadline = std::time::Instant::now() + super::daemon::WAIT_TIMEOUT;
+        while std::time::Instant::now() < deadline {
             match self.book(key) {
                 (200 | 201, body) => return Some(body),
                 _ => std::thread::sleep(Duration::from_millis(100)),
@@ -143,10 +152,10 @@
         None
     }
 
-    /// Rereads a booking by its key.
+    /// Rereads a booking by its idempotency key.
     pub(crate) fn reread(&self, key: &str) -> (u16, Value) {
         let url = format!("http://{}/{}/orders/by-key/{key}", self.entry, self.service);
-        answer(
+        parse_response(
             self.agent
                 .get(url)
                 .header("authorization", self.bearer())
@@ -156,7 +165,7 @@
     }
 }
 
-fn answer(response: Option<Response<Body>>) -> (u16, Value) {
+fn parse_response(response: Option<Response<Body>>) -> (u16, Value) {
     let Some(response) = response else {
         return (0, Value::Null);
     };
@@ -174,14 +183,18 @@
         matches!(read, Ok(1..))
     }
 
-    /// Reads until `tokens` events with text have come.
+    /// Reads until `tokens` events with text have arrived.
     pub(crate) fn read_tokens(&mut self, tokens: usize) {
         while self.tokens().count() < tokens {
-            assert!(self.read_line(), "the stream ended early: {}", self.text);
+            assert!(
+                self.read_line(),
+                "the stream ended before the expected tokens: {}",
+                self.text
+            );
         }
     }
 
-    /// Reads to the end, however it ends.
+    /// Reads to the end of the stream, complete or not.
     pub(crate) fn read_to_end(&mut self) {
         while self.read_line() {}
     }
@@ -198,17 +211,17 @@
         })
     }
 
-    /// The text that came so far.
+    /// Returns the text received so far.
     pub(crate) fn content(&self) -> String {
         self.tokens().collect()
     }
 
-    /// Whether the stream ended as a whole one does.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Whether the stream ended with the final event of a complete response.
+    pub(crate) fn is_complete(&self) -> bool {
         self.text.trim_end().ends_with("data: [DONE]")
     }
 
-    /// The error event that ended the stream.
+    /// Returns the error event that ended the stream, if any.
     pub(crate) fn error(&self) -> Option<Value> {
         let (_, data) = self.text.split_once("event: error\ndata: ")?;
         serde_json::from_str(data.trim()).ok()
--- a/tests/testsuite/processes/configuration_log.rs
+++ b/tests/testsuite/processes/configuration_log.rs
@@ -1,9 +1,9 @@
-//! What hosts have logged of the configurations they had in force.
+//! Checks the configurations that hosts logged as in force.
 
 use super::daemon::Daemon;
 
-/// The numbers that a host had in force, over all its runs, in order.
-pub(crate) fn numbers(daemon: &Daemon) -> Vec<u64> {
+/// Returns the numbers of the configurations that a host had in force, in order over all its runs.
+pub(crate) fn configuration_numbers(daemon: &Daemon) -> Vec<u64> {
     let log = daemon.log();
     let lines = log.lines().filter(|line| line.contains(" CFN-0002 "));
     let numbers = lines.filter_map(|line| {
@@ -13,16 +13,20 @@
     numbers.collect()
 }
 
-/// Fails when a host had an earlier configuration in force after a later one.
+/// Fails if a host had an earlier configuration in force after a later one, or none at all.
 #[track_caller]
-pub(crate) fn assert_never_back<'a>(daemons: impl Iterator<Item = &'a Daemon>) {
+pub(crate) fn assert_never_reverted<'a>(daemons: impl Iterator<Item = &'a Daemon>) {
     for daemon in daemons {
-        let numbers = numbers(daemon);
+        let numbers = configuration_numbers(daemon);
         assert!(
             numbers.is_sorted(),
-            "{} went back: {numbers:?}",
+            "{} reverted to an earlier configuration: {numbers:?}",
+            daemon.host
+        );
+        assert!(
+            !numbers.is_empty(),
+            "{} had no configuration in force",
             daemon.host
         );
-        assert!(!numbers.is_empty(), "{} had no configuration", daemon.host);
     }
 }
--- a/tests/testsuite/processes/control_loss.rs
+++ b/tests/testsuite/processes/control_loss.rs
@@ -1,4 +1,4 @@
-//! Control hosts that are killed and frozen while configurations are applied and orders booked.
+//! Control hosts that are killed and paused while configurations are applied and bookings made.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,28 +10,28 @@
 use serde_json::Value;
 
 use super::caller::Caller;
-use super::configuration_log::assert_never_back;
+use super::configuration_log::assert_never_reverted;
 use super::daemon::{Signal, wait_until};
 use super::fleet::{Fleet, Plan, apply, manifest};
 
-/// Bookings that are under way at once.
-const BOOKERS: usize = 6;
-/// Time between two applies, so that thousands of them don't bury the log of a failed test.
-const BETWEEN_APPLIES: Duration = Duration::from_millis(20);
+/// Number of concurrent bookings.
+const CONCURRENT_BOOKINGS: usize = 6;
+/// Time between two applies, which limits the size of the log of a failed test.
+const APPLY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What was acknowledged.
+/// Acknowledged configurations and bookings.
 struct Acknowledged {
+    /// Highest number of an accepted configuration.
     configurations: u64,
+    /// Response bodies by idempotency key.
     bookings: BTreeMap<String, Value>,
 }
 
-/// The leader of the control group is killed while an operator applies and members book; it comes
-/// back with its data folder, and right after that a second control host is killed, and a third time
-/// the new leader is frozen for some seconds, as a virtual machine is when it moves. Whatever was
-/// acknowledged stays: every configuration is still known, no host ever had an older one in force
-/// after a newer, and the order service has every booking exactly once.
+/// Kills the leader, restarts it, kills a second control host, and then pauses the leader, all
+/// while configurations are applied and bookings made. Guards against lost or reverted
+/// configurations and against lost or repeated bookings.
 #[test]
-fn nothing_acknowledged_is_lost_when_control_hosts_die() {
+fn nothing_acknowledged_is_lost_when_control_hosts_fail() {
     let mut fleet = Fleet::start(Plan {
         entries: 2,
         engines: vec![],
@@ -60,27 +60,27 @@
     fleet.controls[second.0].start();
     fleet.wait_caught_up(second.0, second.1.configurations);
 
-    let freeze = |fleet: &mut Fleet| {
+    let pause_leader = |fleet: &mut Fleet| {
         let leader = fleet.leader();
         fleet.controls[leader].signal(Signal::Stop);
         leader
     };
     let next = second.1.configurations + 1;
-    let third = under_load(&mut fleet, next, "third", freeze);
+    let third = under_load(&mut fleet, next, "third", pause_leader);
     fleet.controls[third.0].signal(Signal::Continue);
     fleet.wait_caught_up(third.0, third.1.configurations);
 
     let bookings = [first.1, second.1, third.1];
-    check(&fleet, &bookings);
+    assert_nothing_lost(&fleet, &bookings);
 }
 
-/// Applies and books, lets `disturb` do its work in the middle of it, and goes on until the group
-/// has accepted and booked for a while without the host that was lost.
+/// Runs `inject_fault`, which returns the failed host, while configurations are applied and
+/// bookings made. Continues until the group has accepted more of both without that host.
 fn under_load(
     fleet: &mut Fleet,
     next: u64,
     round: &str,
-    disturb: impl FnOnce(&mut Fleet) -> usize,
+    inject_fault: impl FnOnce(&mut Fleet) -> usize,
 ) -> (usize, Acknowledged) {
     let ended = AtomicBool::new(false);
     let accepted = AtomicU64::new(next - 1);
@@ -97,11 +97,11 @@
                 );
                 accepted.store(number, Ordering::Relaxed);
                 number += 1;
-                thread::sleep(BETWEEN_APPLIES);
+                thread::sleep(APPLY_INTERVAL);
             }
         });
         let bookers = start_bookers(scope, &callers, round, &ended, &booked);
-        let wait_for = |what: &str, more: u64| {
+        let wait_for_progress = |what: &str, more: u64| {
             let (a, b) = (
                 accepted.load(Ordering::Relaxed),
                 booked.load(Ordering::Relaxed),
@@ -111,14 +111,14 @@
                     && booked.load(Ordering::Relaxed) >= b + more
             });
         };
-        wait_for("there is load", 10);
-        let host = disturb(fleet);
-        wait_for("the group goes on", 30);
+        wait_for_progress("load has started", 10);
+        let host = inject_fault(fleet);
+        wait_for_progress("the group accepts more without the host", 30);
         ended.store(true, Ordering::Relaxed);
-        applier.join().expect("the operator's thread");
+        applier.join().expect("the thread of the operator finishes");
         let booked = bookers
             .into_iter()
-            .flat_map(|booker| booker.join().expect("a member's thread"));
+            .flat_map(|booker| booker.join().expect("a booking thread finishes"));
         let acknowledged = Acknowledged {
             bookings: booked.collect(),
             configurations: accepted.load(Ordering::Relaxed),
@@ -139,20 +139,20 @@
         while !ended.load(Ordering::Relaxed) {
             let key = format!("{round}-{booker}-{}", made.len());
             let caller = &callers[made.len() % callers.len()];
-            let body = caller.book_until_made(&key);
-            made.push((key, body.expect("a booking is made in time")));
+            let body = caller.book_until_acknowledged(&key);
+            made.push((key, body.expect("a booking is acknowledged in time")));
             booked.fetch_add(1, Ordering::Relaxed);
         }
         made
     };
-    (0..BOOKERS)
+    (0..CONCURRENT_BOOKINGS)
         .map(|booker| scope.spawn(move || book(booker)))
         .collect()
 }
 
-fn check(fleet: &Fleet, rounds: &[Acknowledged]) {
+fn assert_nothing_lost(fleet: &Fleet, rounds: &[Acknowledged]) {
     let last = rounds.iter().map(|round| round.configurations).max();
-    let last = last.expect("a round");
+    let last = last.expect("there is a round");
     for number in 1..=last {
         assert!(
             fleet.apply(number),
@@ -161,11 +161,11 @@
     }
     wait_until("every host has the last configuration", || {
         let answers = fleet.status();
-        let known = coltsfootnotch::ops::fleet_status::in_force(&answers);
-        known.len() == fleet.daemons().count() && known.values().all(|number| *number == last)
+        let in_force = coltsfootnotch::ops::fleet_status::in_force(&answers);
+        in_force.len() == fleet.daemons().count() && in_force.values().all(|number| *number == last)
     });
     let hosts = fleet.entries.iter().chain(&fleet.sidecars);
-    assert_never_back(hosts);
+    assert_never_reverted(hosts);
     let mut counted = BTreeMap::new();
     for service in &fleet.services {
         for (key, times) in service.bookings() {
@@ -183,8 +183,8 @@
         .iter()
         .filter_map(|round| round.bookings.first_key_value())
     {
-        let again = fleet.caller(1).book_until_made(key);
-        assert_that!(again.as_ref(), some(eq(body)), "sent again");
+        let again = fleet.caller(1).book_until_acknowledged(key);
+        assert_that!(again.as_ref(), some(eq(body)), "repeated request");
     }
     println!(
         "{last} configurations and {} bookings were acknowledged",
@@ -192,10 +192,9 @@
     );
 }
 
-/// Two of the three control hosts are lost at once. Nothing can be recorded, so an order is refused
-/// as not run and a manifest is not accepted, while rereadings and completions go on. An entry that
-/// restarts meanwhile takes no requests: it can't know the newest configuration. Once a majority is
-/// back everything goes on, and the entry has the configuration that it had.
+/// Kills two of three control hosts. Without a majority orders are refused as not run, no manifest
+/// is accepted and a restarted entry is not ready, while rereads and completions still succeed.
+/// With the majority back, everything recovers.
 #[test]
 fn without_a_majority_orders_are_refused_as_not_run() {
     let mut fleet = Fleet::start(Plan {
@@ -206,15 +205,15 @@
     assert!(fleet.apply(2), "configuration 2 is accepted");
     let made = fleet
         .caller(0)
-        .book_until_made("before")
+        .book_until_acknowledged("before")
         .expect("a booking");
     for control in &mut fleet.controls[..2] {
         control.kill();
     }
     for number in 0..3 {
-        let asked = Instant::now();
+        let started = Instant::now();
         let (status, body) = fleet.caller(number % 2).book(&format!("during-{number}"));
-        println!("refused after {:?}", asked.elapsed());
+        println!("refused after {:?}", started.elapsed());
         assert_that!(status, eq(503));
         assert_that!(body["error"]["run"].as_str(), some(eq("no")), "{body}");
     }
@@ -224,7 +223,7 @@
     assert_that!(fleet.caller(1).reread("before"), eq(&(200, made.clone())));
     fleet.entries[1].kill();
     fleet.entries[1].start();
-    wait_until("the entry is back", || fleet.is_healthy(1));
+    wait_until("the entry is healthy", || fleet.is_healthy(1));
     std::thread::sleep(Duration::from_secs(2));
     assert!(!fleet.is_ready(1), "ready without the newest configuration");
 
@@ -233,16 +232,19 @@
     }
     wait_until("the entry is ready", || fleet.is_ready(1));
     assert!(fleet.apply(3), "configuration 3 is accepted");
-    assert_that!(fleet.caller(1).book_until_made("before"), some(eq(&made)));
+    assert_that!(
+        fleet.caller(1).book_until_acknowledged("before"),
+        some(eq(&made))
+    );
     for number in 0..3 {
         let key = format!("during-{number}");
         assert!(
-            fleet.caller(1).book_until_made(&key).is_some(),
-            "{key} is made"
+            fleet.caller(1).book_until_acknowledged(&key).is_some(),
+            "{key} is acknowledged"
         );
     }
     let bookings = fleet.services[0].bookings();
     assert!(bookings.values().all(|times| *times == 1), "{bookings:?}");
     assert_that!(bookings.len(), eq(4));
-    assert_never_back(fleet.entries.iter().chain(&fleet.sidecars));
+    assert_never_reverted(fleet.entries.iter().chain(&fleet.sidecars));
 }
--- a/tests/testsuite/processes/daemon.rs
+++ b/tests/testsuite/processes/daemon.rs
@@ -1,24 +1,24 @@
-//! One `coltsfootnotchd` process.
+//! Starts, signals and stops a `coltsfootnotchd` process.
 
 use std::fs::OpenOptions;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything; only a test that fails waits that long.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of every wait; reached by failing tests only.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `holds` does.
+/// Waits until `condition` holds.
 #[track_caller]
-pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < until, "not in time: {what}");
+pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A signal, by the name that `kill` takes.
+/// A signal to a process.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Signal {
     Term,
@@ -27,7 +27,8 @@
 }
 
 impl Signal {
-    fn name(self) -> &'static str {
+    /// Argument of the `kill` command.
+    fn kill_argument(self) -> &'static str {
         match self {
             Self::Term => "-TERM",
             Self::Stop => "-STOP",
@@ -36,7 +37,7 @@
     }
 }
 
-/// A daemon that runs or has run; it is killed on drop.
+/// A daemon process, which is killed on drop.
 pub(crate) struct Daemon {
     pub(crate) host: String,
     settings: PathBuf,
@@ -45,7 +46,7 @@
 }
 
 impl Daemon {
-    /// A daemon that is not started yet; it logs to `<host>.log` in `folder`.
+    /// Returns a daemon that is not started yet and logs to `<host>.log` in `folder`.
     pub(crate) fn new(host: &str, settings: PathBuf, folder: &Path) -> Self {
         Self {
             host: host.to_owned(),
@@ -56,7 +57,7 @@
     }
 
     pub(crate) fn start(&mut self) {
-        assert!(self.child.is_none(), "{} runs", self.host);
+        assert!(self.child.is_none(), "{} is already running", self.host);
         let mut options = OpenOptions::new();
         let log = options.create(true).append(true).open(&self.log);
         let child = Command::new(env!("CARGO_BIN_EXE_coltsfootnotchd"))
@@ -64,9 +65,9 @@
             .arg(&self.settings)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(log.expect("a log file"))
+            .stderr(log.expect("the log file is opened"))
             .spawn();
-        self.child = Some(child.expect("a process"));
+        self.child = Some(child.expect("the process starts"));
     }
 
     pub(crate) fn is_running(&self) -> bool {
@@ -74,41 +75,45 @@
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
-        let child = self.child.as_ref().expect("a running process");
+        let child = self.child.as_ref().expect("the process is running");
         let status = Command::new("kill")
-            .arg(signal.name())
+            .arg(signal.kill_argument())
             .arg(child.id().to_string())
             .status();
-        assert!(status.expect("kill runs").success(), "kill {}", self.host);
+        assert!(
+            status.expect("kill runs").success(),
+            "kill {} failed",
+            self.host
+        );
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for it.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("the process is killed");
-            child.wait().expect("the process ends");
+            child.wait().expect("the process exits");
         }
     }
 
-    /// Waits for the process to end; its exit code.
+    /// Waits for the process to exit; returns its exit code.
     #[track_caller]
     pub(crate) fn wait(&mut self) -> i32 {
-        let mut child = self.child.take().expect("a running process");
-        let until = Instant::now() + PATIENCE;
+        let mut child = self.child.take().expect("the process is running");
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(status) = child.try_wait().expect("a status") {
-                return status.code().expect("an exit code");
+            if let Some(status) = child.try_wait().expect("the status is available") {
+                return status.code().expect("the process exits with a code");
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 child.kill().expect("the process is killed");
-                child.wait().expect("the process ends");
-                panic!("{} did not end; its log:\n{}", self.host, self.log());
+                child.wait().expect("the process exits");
+                panic!("{} did not exit; its log:\n{}", self.host, self.log());
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// What it has logged, over all its runs.
+    /// Returns what the daemon has logged, over all its runs.
     pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -117,7 +122,7 @@
 impl Drop for Daemon {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself; either way it must not outlive the test.
+            // The process must not outlive the test; errors mean that it has exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/tests/testsuite/processes/example.rs
+++ b/tests/testsuite/processes/example.rs
@@ -1,4 +1,4 @@
-//! The settings of an example, as they stand but for the address.
+//! The Kelani example, unmodified but for its addresses.
 
 use std::fs;
 use std::path::Path;
@@ -12,13 +12,14 @@
 
 use super::caller::Caller;
 use super::daemon::{Daemon, Signal, wait_until};
-use super::fleet::{command, own_address, read_settings};
+use super::fleet::{read_settings, run_command, unique_address};
 
-/// Operators take the example of Kelani as it is: 19 daemons, keys by one command, the manifest by
-/// another. A member's completion and booking go through, and everything ends when it is told to.
+/// Starts the 19 daemons of the example with the documented commands. Completions and bookings
+/// succeed, and every daemon exits on a signal. Guards against an example that doesn't match the
+/// code.
 #[test]
-fn the_kelani_example_runs_as_it_stands() {
-    let folder = TempDir::new().expect("a folder");
+fn the_kelani_example_runs_unmodified() {
+    let folder = TempDir::new().expect("the folder is created");
     let mut daemons = daemons(folder.path());
     let settings = folder.path().join("hosts/entry-colombo.jsonc");
     let keys = std::process::Command::new(env!("CARGO_BIN_EXE_coltsfootnotch"))
@@ -28,15 +29,18 @@
     assert!(keys.expect("the command runs").status.success());
     daemons.iter_mut().for_each(Daemon::start);
     let upstreams = upstreams(folder.path());
-    let run = |args: &[&str]| command(folder.path(), &settings, args);
+    let run = |args: &[&str]| run_command(folder.path(), &settings, args);
 
     let applied = run(&["apply", "--wait", "--json", "manifest.jsonc"]);
     assert_that!(applied.status.code(), some(eq(0)));
     let report: Value = serde_json::from_slice(&applied.stdout).expect("JSON");
     assert_that!(report["spread"]["behind"].as_array(), some(is_empty()));
-    refuse_others(folder.path(), &run);
+    assert_others_refused(folder.path(), &run);
 
-    let callers = read_settings(&settings).listen.callers.expect("an address");
+    let callers = read_settings(&settings)
+        .listen
+        .callers
+        .expect("the entry has an address for callers");
     let caller = Caller::new(callers).with_key("kelani-demo-asiri-applicators");
     let prompt = "cure time of a 3 mm screed at 18 degrees?";
     wait_until("completions are served", || {
@@ -46,7 +50,9 @@
         caller.complete(prompt, 8).1,
         eq(&expected_answer(prompt, 8))
     );
-    let booked = caller.book_until_made("example-1").expect("a booking");
+    let booked = caller
+        .book_until_acknowledged("example-1")
+        .expect("a booking");
     assert_that!(caller.book("example-1"), eq(&(201, booked)));
     assert_that!(upstreams.1.bookings().get("example-1"), some(eq(&1)));
 
@@ -62,9 +68,10 @@
     }
 }
 
-/// Another manifest of the same number is a conflict, one of a lower number is stale: exit code 3.
-fn refuse_others(folder: &Path, run: &impl Fn(&[&str]) -> std::process::Output) {
-    let manifest = fs::read_to_string(folder.join("manifest.jsonc")).expect("a manifest");
+/// A different manifest with the same number conflicts, one with a lower number is stale; both exit
+/// with code 3.
+fn assert_others_refused(folder: &Path, run: &impl Fn(&[&str]) -> std::process::Output) {
+    let manifest = fs::read_to_string(folder.join("manifest.jsonc")).expect("the manifest is read");
     fs::write(
         folder.join("other.jsonc"),
         manifest.replace("\"weight\": 8", "\"weight\": 7"),
@@ -101,25 +108,25 @@
     assert_that!(text, contains_substring("configuration 4 was accepted"));
 }
 
-/// The daemons of the example; control hosts come first.
+/// Copies the example into a folder; returns its daemons, control hosts first.
 fn daemons(folder: &Path) -> Vec<Daemon> {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/kelani");
-    fs::create_dir(folder.join("hosts")).expect("a folder");
+    fs::create_dir(folder.join("hosts")).expect("the folder is created");
     fs::copy(
         example.join("manifest.jsonc"),
         folder.join("manifest.jsonc"),
     )
-    .expect("a manifest");
-    let address = own_address().to_string();
+    .expect("the manifest is copied");
+    let address = unique_address().to_string();
     let mut files: Vec<_> = fs::read_dir(example.join("hosts"))
-        .expect("the example")
-        .map(|entry| entry.expect("a file").path())
+        .expect("the example is read")
+        .map(|entry| entry.expect("the entry is read").path())
         .collect();
     files.sort();
     let daemon = |file: &std::path::PathBuf| {
-        let text = fs::read_to_string(file).expect("settings");
+        let text = fs::read_to_string(file).expect("the settings are read");
         let to = folder.join("hosts").join(file.file_name().expect("a name"));
-        fs::write(&to, text.replace("127.0.0.1", &address)).expect("settings");
+        fs::write(&to, text.replace("127.0.0.1", &address)).expect("the settings are written");
         let host = file
             .file_stem()
             .expect("a name")
@@ -134,7 +141,10 @@
     let announce = |host: &str| {
         let settings = read_settings(&folder.join(format!("hosts/{host}.jsonc")));
         Some(AnnounceConfig::new(
-            settings.listen.announce.expect("an address"),
+            settings
+                .listen
+                .announce
+                .expect("the sidecar has an address for announcements"),
         ))
     };
     let engine = EngineConfig {
@@ -146,7 +156,7 @@
         ..OrderConfig::new("member-desk-1", "member-desk")
     };
     (
-        EngineHandle::start(engine).expect("an engine"),
-        OrderHandle::start(service).expect("an order service"),
+        EngineHandle::start(engine).expect("the engine starts"),
+        OrderHandle::start(service).expect("the order service starts"),
     )
 }
--- a/tests/testsuite/processes/fleet.rs
+++ b/tests/testsuite/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes in a folder of its own.
+//! Starts a fleet of processes in a temporary folder.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -20,38 +20,38 @@
 use tokio::runtime::Runtime;
 
 use super::caller::{Caller, KEY};
-use super::daemon::{Daemon, PATIENCE, wait_until};
+use super::daemon::{Daemon, WAIT_TIMEOUT, wait_until};
 
-/// Ports are below those that the system gives to outgoing connections.
+/// First port; ports stay below the system's range for outgoing connections.
 const FIRST_PORT: u16 = 20_000;
-const PORTS_A_HOST: u16 = 4;
+const PORTS_PER_HOST: u16 = 4;
 const DOMAINS: [&str; 3] = ["colombo", "gampaha", "kalutara"];
 
-static FLEETS: AtomicU8 = AtomicU8::new(1);
+static NEXT_FLEET: AtomicU8 = AtomicU8::new(1);
 
-/// A loopback address that no other fleet uses, in this process or another: whatever its ports are,
-/// nobody else has bound them.
-pub(crate) fn own_address() -> IpAddr {
+/// Returns a loopback address that no other fleet uses, in this process or another, so that all its
+/// ports are free.
+pub(crate) fn unique_address() -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let number = FLEETS.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
     IpAddr::V4(Ipv4Addr::new(127, 64 | (high & 63), low, number))
 }
 
-/// How many hosts of each role; the manifest is small.
+/// Hosts of a fleet.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Plan {
     pub(crate) entries: usize,
-    /// Each with a sidecar of its own.
+    /// Engines, each with its own sidecar.
     pub(crate) engines: Vec<EngineConfig>,
-    /// Each with a sidecar of its own.
+    /// Order services, each with its own sidecar.
     pub(crate) services: Vec<OrderConfig>,
 }
 
-/// A fleet of processes, its stand-in upstreams, and an operator's client.
+/// A fleet of processes, its fake upstreams and an operator's client.
 pub(crate) struct Fleet {
     pub(crate) controls: Vec<Daemon>,
     pub(crate) entries: Vec<Daemon>,
-    /// The sidecars of the engines, then those of the services.
+    /// Sidecars of the engines, then of the services.
     pub(crate) sidecars: Vec<Daemon>,
     pub(crate) engines: Vec<EngineHandle>,
     pub(crate) services: Vec<OrderHandle>,
@@ -62,11 +62,11 @@
 }
 
 impl Fleet {
-    /// Starts everything, applies manifest 1 and waits until every entry serves every pool.
+    /// Starts all processes, applies manifest 1 and waits until every entry serves every pool.
     pub(crate) fn start(plan: Plan) -> Self {
-        let address = own_address();
-        let folder = TempDir::new().expect("a folder");
-        let writer = Writer {
+        let address = unique_address();
+        let folder = TempDir::new().expect("the folder is created");
+        let writer = SettingsWriter {
             address,
             folder: folder.path(),
         };
@@ -74,10 +74,11 @@
         let mut controls = writer.write_role(Role::Control, 3);
         let mut entries = writer.write_role(Role::Entry, plan.entries);
         let mut sidecars = writer.write_role(Role::Sidecar, sidecars);
-        issue_for(&[folder.path().to_owned()], false, &mut Vec::new()).expect("keys");
+        issue_for(&[folder.path().to_owned()], false, &mut Vec::new())
+            .expect("the keys are issued");
         let all = controls.iter_mut().chain(&mut entries).chain(&mut sidecars);
         all.for_each(Daemon::start);
-        let runtime = Runtime::new().expect("a runtime");
+        let runtime = Runtime::new().expect("the runtime starts");
         let operator = operator(&runtime, folder.path(), &control_addresses(address));
         let mut fleet = Self {
             controls,
@@ -99,18 +100,21 @@
     fn start_upstreams(&mut self, plan: Plan) {
         let engines = plan.engines.len();
         for (at, mut engine) in plan.engines.into_iter().enumerate() {
-            engine.announce = Some(AnnounceConfig::new(announce(self.address, at)));
+            engine.announce = Some(AnnounceConfig::new(announce_address(self.address, at)));
             self.engines
-                .push(EngineHandle::start(engine).expect("an engine"));
+                .push(EngineHandle::start(engine).expect("the engine starts"));
         }
         for (at, mut service) in plan.services.into_iter().enumerate() {
-            service.announce = Some(AnnounceConfig::new(announce(self.address, engines + at)));
+            service.announce = Some(AnnounceConfig::new(announce_address(
+                self.address,
+                engines + at,
+            )));
             self.services
-                .push(OrderHandle::start(service).expect("an order service"));
+                .push(OrderHandle::start(service).expect("the order service starts"));
         }
     }
 
-    /// Waits until every entry that runs answers a completion and a rereading.
+    /// Waits until every running entry serves completions and rereads.
     pub(crate) fn wait_ready(&self) {
         for at in 0..self.entries.len() {
             if !self.entries[at].is_running() {
@@ -123,22 +127,22 @@
                 });
             }
             if !self.services.is_empty() {
-                wait_until("rereadings are served", || caller.reread("none").0 == 404);
+                wait_until("rereads are served", || caller.reread("none").0 == 404);
             }
         }
     }
 
-    /// A caller at an entry.
+    /// Returns a caller of an entry.
     pub(crate) fn caller(&self, entry: usize) -> Caller {
         Caller::new(port_of(self.address, Role::Entry, entry, 1))
     }
 
-    /// Whether the readiness probe of an entry says that it takes requests.
+    /// Whether the readiness probe of an entry succeeds.
     pub(crate) fn is_ready(&self, entry: usize) -> bool {
         self.probe(entry, "readyz")
     }
 
-    /// Whether the process of an entry answers.
+    /// Whether the health probe of an entry succeeds.
     pub(crate) fn is_healthy(&self, entry: usize) -> bool {
         self.probe(entry, "healthz")
     }
@@ -148,40 +152,38 @@
         ureq::get(format!("http://{admin}/{page}")).call().is_ok()
     }
 
-    /// Applies manifest `number`; whether it was accepted.
+    /// Applies manifest `number`; returns whether it was accepted.
     pub(crate) fn apply(&self, number: u64) -> bool {
         apply(&self.operator, &manifest(number))
     }
 
-    /// A second operator, who works beside the first.
+    /// Returns the client of a second operator.
     pub(crate) fn another_operator(&self) -> OperatorClient {
         let control = control_addresses(self.address);
         operator(&self.runtime, self.folder.path(), &control)
     }
 
-    /// What each control host that answers knows.
+    /// Returns the status reported by each reachable control host.
     pub(crate) fn status(&self) -> Vec<FleetStatus> {
-        let answers = self
-            .operator
-            .status_of_each()
-            .expect("the question is sent");
-        let parse = |json: &String| serde_json::from_str(json).expect("a status");
+        let answers = self.operator.status_of_each().expect("the query is sent");
+        let parse = |json: &String| serde_json::from_str(json).expect("the status is valid");
         answers.iter().map(parse).collect()
     }
 
-    /// The control host that leads by its own word and that of a second one.
+    /// Waits for a control host that is leader according to itself and a follower; returns its
+    /// index.
     pub(crate) fn leader(&self) -> usize {
         let mut leader = None;
         wait_until("a leader is known", || {
             let status = self.status();
-            let leads = |s: &&FleetStatus| s.group.role == "leader";
-            let found = status.iter().filter(leads).max_by_key(|s| s.group.term);
-            leader = found.map(|s| s.answered_by.to_string());
-            let follows = |s: &FleetStatus| {
+            let is_leader = |s: &&FleetStatus| s.group.role == "leader";
+            let candidate = status.iter().filter(is_leader).max_by_key(|s| s.group.term);
+            leader = candidate.map(|s| s.answered_by.to_string());
+            let is_follower = |s: &FleetStatus| {
                 s.group.leader.as_ref().map(ToString::to_string) == leader
                     && s.group.role == "follower"
             };
-            leader.is_some() && status.iter().any(follows)
+            leader.is_some() && status.iter().any(is_follower)
         });
         let at = self
             .controls
@@ -190,7 +192,7 @@
         at.expect("the leader is one of the hosts")
     }
 
-    /// Waits until a control host answers and has applied configuration `number`.
+    /// Waits until a control host responds and has applied configuration `number`.
     pub(crate) fn wait_caught_up(&self, control: usize, number: u64) {
         let host = &self.controls[control].host;
         wait_until("the control host has caught up", || {
@@ -202,36 +204,37 @@
     }
 
     /// Runs the operators' command with the settings of the first entry.
-    pub(crate) fn command(&self, args: &[&str]) -> Output {
+    pub(crate) fn run_command(&self, args: &[&str]) -> Output {
         let settings = self.folder.path().join("hosts/entry-1.jsonc");
-        command(self.folder.path(), &settings, args)
+        run_command(self.folder.path(), &settings, args)
     }
 
-    /// Loses the data folder of a control host, which does not run.
-    pub(crate) fn lose_data(&self, control: usize) {
+    /// Deletes the data folder of a stopped control host.
+    pub(crate) fn delete_data(&self, control: usize) {
         let host = host_name(Role::Control, control);
-        fs::remove_dir_all(self.folder.path().join("data").join(host)).expect("the folder goes");
+        fs::remove_dir_all(self.folder.path().join("data").join(host))
+            .expect("the folder is deleted");
     }
 
-    /// Every daemon.
+    /// Returns all daemons.
     pub(crate) fn daemons(&self) -> impl Iterator<Item = &Daemon> {
         let hosts = self.controls.iter().chain(&self.entries);
         hosts.chain(&self.sidecars)
     }
 }
 
-/// Applies a manifest; whether it was accepted.
+/// Applies a manifest; returns whether it was accepted.
 pub(crate) fn apply(operator: &OperatorClient, manifest: &Manifest) -> bool {
-    let reply = operator.apply(manifest, PATIENCE);
-    match reply.expect("an answer") {
+    let reply = operator.apply(manifest, WAIT_TIMEOUT);
+    match reply.expect("the group replies") {
         Reply::Config(ConfigReply::Accepted { number, .. }) => number == manifest.number,
         Reply::Config(_) => false,
-        other => panic!("an unexpected reply: {other:?}"),
+        other => panic!("unexpected reply: {other:?}"),
     }
 }
 
-/// Runs the operators' command.
-pub(crate) fn command(folder: &Path, settings: &Path, args: &[&str]) -> Output {
+/// Runs the operators' command in a folder.
+pub(crate) fn run_command(folder: &Path, settings: &Path, args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_coltsfootnotch"))
         .current_dir(folder)
         .args(args)
@@ -241,7 +244,7 @@
         .expect("the command runs")
 }
 
-/// The manifest of a fleet, which differs by its number alone.
+/// Returns the manifest of a fleet; manifests differ in their number only.
 pub(crate) fn manifest(number: u64) -> Manifest {
     let text = json!({
         "number": number,
@@ -266,13 +269,13 @@
     Manifest::parse("manifest", &text.to_string()).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// Writes the settings of hosts.
-struct Writer<'a> {
+/// Writes the settings files of hosts.
+struct SettingsWriter<'a> {
     address: IpAddr,
     folder: &'a Path,
 }
 
-impl Writer<'_> {
+impl SettingsWriter<'_> {
     fn write_role(&self, role: Role, count: usize) -> Vec<Daemon> {
         (0..count).map(|at| self.write(role, at)).collect()
     }
@@ -280,10 +283,10 @@
     fn write(&self, role: Role, at: usize) -> Daemon {
         let host = host_name(role, at);
         let hosts = self.folder.join("hosts");
-        fs::create_dir_all(&hosts).expect("a folder");
+        fs::create_dir_all(&hosts).expect("the folder is created");
         let file = hosts.join(format!("{host}.jsonc"));
         let settings = self.settings(role, at, &host);
-        fs::write(&file, settings.to_string()).expect("a settings file");
+        fs::write(&file, settings.to_string()).expect("the settings are written");
         Daemon::new(&host, file, self.folder)
     }
 
@@ -306,12 +309,12 @@
             Role::Control => settings["data"] = json!(format!("../data/{host}")),
             Role::Entry => {
                 listen["callers"] = json!(port(1));
-                // The system takes more bytes from a writer only once a third of its buffer is free:
-                // a slow reader looks stalled for longer than it is.
+                // The system accepts further bytes only once a third of its send buffer is free, so
+                // a slow reader appears stalled for longer than it is.
                 settings["limits"] = json!({ "write_timeout_ms": 60_000 });
             }
             Role::Sidecar => listen["announce"] = json!(port(2)),
-            Role::Operator => panic!("operators run no daemon"),
+            Role::Operator => panic!("an operator has no daemon"),
         }
         settings["listen"] = listen;
         settings
@@ -328,19 +331,19 @@
         Role::Entry => 100,
         _ => 200,
     };
-    let at = u16::try_from(at).expect("a small number");
-    SocketAddr::new(address, FIRST_PORT + (first + at) * PORTS_A_HOST + of)
+    let at = u16::try_from(at).expect("the index is small");
+    SocketAddr::new(address, FIRST_PORT + (first + at) * PORTS_PER_HOST + of)
 }
 
-fn announce(address: IpAddr, sidecar: usize) -> SocketAddr {
+fn announce_address(address: IpAddr, sidecar: usize) -> SocketAddr {
     port_of(address, Role::Sidecar, sidecar, 2)
 }
 
 fn control_addresses(address: IpAddr) -> Vec<ControlAddress> {
     let of = |at: usize| ControlAddress {
-        host: HostName::new(host_name(Role::Control, at)).expect("a name"),
+        host: HostName::new(host_name(Role::Control, at)).expect("the host name is valid"),
         address: port_of(address, Role::Control, at, 0),
-        domain: DomainName::new(DOMAINS[at]).expect("a name"),
+        domain: DomainName::new(DOMAINS[at]).expect("the domain name is valid"),
     };
     (0..3).map(of).collect()
 }
@@ -353,24 +356,26 @@
     })
 }
 
-/// A client with the operator's key of a folder.
+/// Connects an operator's client with the operator's key in a folder.
 pub(crate) fn operator(
     runtime: &Runtime,
     folder: &Path,
     control: &[ControlAddress],
 ) -> OperatorClient {
-    let read = |name: &str| fs::read_to_string(folder.join("keys").join(name)).expect("a key");
+    let read =
+        |name: &str| fs::read_to_string(folder.join("keys").join(name)).expect("the key is read");
     let credentials = Credentials::from_pem(
         &read("ca.pem"),
         &read("operator.pem"),
         &read("operator.key"),
     );
-    let credentials = credentials.expect("credentials");
-    OperatorClient::connect(runtime.handle(), &credentials, control, PATIENCE).expect("a client")
+    let credentials = credentials.expect("the credentials are valid");
+    OperatorClient::connect(runtime.handle(), &credentials, control, WAIT_TIMEOUT)
+        .expect("the client connects")
 }
 
-/// The settings in a file.
+/// Reads the settings in a file.
 pub(crate) fn read_settings(file: &Path) -> Settings {
-    let text = fs::read_to_string(file).expect("settings");
+    let text = fs::read_to_string(file).expect("the settings are read");
     Settings::parse(&file.display().to_string(), &text).unwrap_or_else(|e| panic!("{e}"))
 }
--- a/tests/testsuite/processes/relay_loss.rs
+++ b/tests/testsuite/processes/relay_loss.rs
@@ -1,14 +1,13 @@
-//! A relay that answers, and is of no use to its hosts.
+//! A relay that responds but has no quorum.
 
 use coltsfootnotch_fakes::OrderConfig;
 use googletest::prelude::*;
 
 use super::fleet::{Fleet, Plan};
 
-/// The control host that is the entry's relay comes back with an empty disk. It is reachable and
-/// belongs to no group, so it answers every order with "no quorum" while the other two have one. The
-/// entry must not stay with it for ever: orders go through again once it has turned to another
-/// relay, each booked once, and none in between was run.
+/// The relay of the entry restarts without its data folder, so it refuses every order with "no
+/// quorum" while the other control hosts have one. Guards against an entry that stays connected to
+/// it, and against repeated bookings.
 #[test]
 fn an_entry_leaves_a_relay_that_has_no_quorum() {
     let mut fleet = Fleet::start(Plan {
@@ -19,14 +18,14 @@
     assert!(fleet.apply(2), "configuration 2 is accepted");
     fleet
         .caller(0)
-        .book_until_made("before")
+        .book_until_acknowledged("before")
         .expect("a booking");
     fleet.controls[0].kill();
-    fleet.lose_data(0);
+    fleet.delete_data(0);
     fleet.controls[0].start();
     fleet
         .caller(0)
-        .book_until_made("after")
+        .book_until_acknowledged("after")
         .expect("a booking through another relay");
     let booked = fleet.services[0].bookings();
     assert_that!(booked.get("before"), some(eq(&1)));
--- a/tests/testsuite/processes/resume.rs
+++ b/tests/testsuite/processes/resume.rs
@@ -1,4 +1,4 @@
-//! Streams over a connection that breaks and comes back.
+//! Streams that resume after a broken connection.
 
 use std::thread;
 use std::time::Duration;
@@ -11,13 +11,12 @@
 
 const PROMPT: &str = "walkthrough notes of a hospital corridor, room by room";
 const TOKENS: u32 = 400;
-/// Longer than a connection stands without a word (2 s), shorter than streams are held (5 s).
-const FROZEN: Duration = Duration::from_millis(3_000);
+/// Longer than the idle timeout of a connection (2 s), shorter than the resume window (5 s).
+const PAUSE: Duration = Duration::from_millis(3_000);
 
-/// A sidecar's host stands still for three seconds, as a virtual machine does that moves, while a
-/// stream runs through it. Its connection to the entry is given up and made anew; the entry asks for
-/// the pieces from the first that it has not delivered, and the caller sees a pause and the whole
-/// answer, no token lost or doubled. The other way round, a frozen entry takes its streams up too.
+/// A process is paused for three seconds during a stream, first the sidecar and then the entry. The
+/// connection between them breaks and the entry resumes the stream. Guards against lost or
+/// duplicated tokens and against a stream that fails.
 #[test]
 fn a_stream_goes_on_after_its_connection_broke() {
     let fleet = Fleet::start(Plan {
@@ -28,34 +27,34 @@
         }],
         services: vec![],
     });
-    stream_while(&fleet, || {
+    assert_stream_survives(&fleet, || {
         fleet.sidecars[0].signal(Signal::Stop);
-        thread::sleep(FROZEN);
+        thread::sleep(PAUSE);
         fleet.sidecars[0].signal(Signal::Continue);
     });
     fleet.wait_ready();
-    stream_while(&fleet, || {
+    assert_stream_survives(&fleet, || {
         fleet.entries[0].signal(Signal::Stop);
-        thread::sleep(FROZEN);
+        thread::sleep(PAUSE);
         fleet.entries[0].signal(Signal::Continue);
     });
 }
 
-/// Connections to the sidecar that the entry has lost so far.
-fn lost(fleet: &Fleet) -> usize {
+/// Number of lost connections to the sidecar that the entry has logged.
+fn lost_connections(fleet: &Fleet) -> usize {
     let log = fleet.entries[0].log();
-    let lost = |line: &&str| line.contains("CFN-0011") && line.contains("peer=sidecar/");
-    log.lines().filter(lost).count()
+    let is_lost = |line: &&str| line.contains("CFN-0011") && line.contains("peer=sidecar/");
+    log.lines().filter(is_lost).count()
 }
 
-fn stream_while(fleet: &Fleet, disturb: impl FnOnce()) {
-    let lost_before = lost(fleet);
+fn assert_stream_survives(fleet: &Fleet, inject_fault: impl FnOnce()) {
+    let lost_before = lost_connections(fleet);
     let mut stream = fleet.caller(0).stream(PROMPT, TOKENS);
     stream.read_tokens(20);
-    disturb();
+    inject_fault();
     stream.read_to_end();
-    assert_that!(lost(fleet), gt(lost_before));
+    assert_that!(lost_connections(fleet), gt(lost_before));
     assert_that!(stream.error(), none());
-    assert!(stream.is_whole(), "the stream did not come to its end");
+    assert!(stream.is_complete(), "the stream is incomplete");
     assert_that!(stream.content(), eq(&expected_answer(PROMPT, TOKENS)));
 }
--- a/tests/testsuite/processes/stops.rs
+++ b/tests/testsuite/processes/shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned stops.
+//! Graceful shutdown of entries and sidecars.
 
 use std::io::Read;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use super::fleet::{Fleet, Plan};
 
 const PROMPT: &str = "walkthrough notes of the third bay";
-/// A stream of these lasts some seconds: long enough for a signal in the middle of it.
+/// Makes a stream last some seconds, so that a signal arrives in the middle of it.
 const TOKENS: u32 = 120;
 
-/// An engine that takes its time between tokens.
+/// Returns the configuration of an engine with a delay between tokens.
 fn slow_engine(number: usize) -> EngineConfig {
     EngineConfig {
         token: Duration::from_millis(15),
@@ -21,11 +21,11 @@
     }
 }
 
-/// An operator stops an entry, then a sidecar, each with a stream open through it. The caller gets
-/// every byte and the usual end of its stream, new requests go elsewhere, and the process ends with
-/// 0. Then a second signal: the operator does not want to wait, so the process ends at once, with 2.
+/// Stops an entry, then a sidecar, each during a stream. The stream completes, new requests are
+/// served by other hosts, and the process exits with 0. A second signal stops a process at once,
+/// with exit code 2.
 #[test]
-fn a_planned_stop_cuts_off_no_stream() {
+fn a_graceful_shutdown_truncates_no_stream() {
     let mut fleet = Fleet::start(Plan {
         entries: 2,
         engines: vec![slow_engine(1), slow_engine(2)],
@@ -33,7 +33,7 @@
     });
     stop_an_entry(&mut fleet);
     stop_a_sidecar(&mut fleet);
-    stop_at_once(&mut fleet);
+    stop_immediately(&mut fleet);
     for control in &mut fleet.controls {
         control.signal(Signal::Term);
         assert_that!(control.wait(), eq(0));
@@ -44,12 +44,12 @@
     let mut stream = fleet.caller(0).stream(PROMPT, TOKENS);
     stream.read_tokens(5);
     fleet.entries[0].signal(Signal::Term);
-    wait_until("the balancer is told", || !fleet.is_ready(0));
+    wait_until("the readiness probe fails", || !fleet.is_ready(0));
     assert_that!(fleet.caller(0).complete(PROMPT, 1).0, any![eq(503), eq(0)]);
     assert_that!(fleet.caller(1).complete(PROMPT, 1).0, eq(200));
     stream.read_to_end();
     assert_that!(stream.content(), eq(&expected_answer(PROMPT, TOKENS)));
-    assert!(stream.is_whole(), "{}", stream.text);
+    assert!(stream.is_complete(), "{}", stream.text);
     assert_that!(fleet.entries[0].wait(), eq(0));
 }
 
@@ -70,14 +70,14 @@
     assert_that!(fleet.engines[other].stats().started, ge(10));
     stream.read_to_end();
     assert_that!(stream.content(), eq(&expected_answer(PROMPT, TOKENS)));
-    assert!(stream.is_whole(), "{}", stream.text);
+    assert!(stream.is_complete(), "{}", stream.text);
     assert_that!(fleet.sidecars[busy].wait(), eq(0));
     fleet.sidecars[busy].start();
 }
 
-fn stop_at_once(fleet: &mut Fleet) {
-    const MINUTES: u32 = 30_000;
-    let mut stream = fleet.caller(1).stream(PROMPT, MINUTES);
+fn stop_immediately(fleet: &mut Fleet) {
+    const LONG: u32 = 30_000;
+    let mut stream = fleet.caller(1).stream(PROMPT, LONG);
     stream.read_tokens(1);
     let runs = |at: usize| fleet.engines[at].stats().running > 0;
     let busy = usize::from(!runs(0));
@@ -88,14 +88,13 @@
         assert_that!(daemon.wait(), eq(2));
     }
     stream.read_to_end();
-    assert!(!stream.is_whole(), "a stream that was cut off looks whole");
+    assert!(!stream.is_complete(), "a truncated stream looks complete");
 }
 
-/// A member on a slow line has most of a long answer still to come when its sidecar, and then its
-/// entry, is stopped. The engine has ended long before. What waits in the buffers of either process
-/// is part of the answer, so neither ends before the member has taken it.
+/// The sidecar, and then the entry, is stopped while a slow reader still has most of a long
+/// response to read. Guards against a process that exits with part of the response in its buffers.
 #[test]
-fn a_planned_stop_waits_for_a_slow_reader() {
+fn a_graceful_shutdown_waits_for_a_slow_reader() {
     let engine = EngineConfig {
         token: Duration::ZERO,
         ..EngineConfig::new("spec-llm-1", "spec-llm")
@@ -105,7 +104,7 @@
         engines: vec![engine],
         services: vec![],
     });
-    // Longer than the sidecar keeps pieces for an entry whose connection broke.
+    // Longer than the time for which the sidecar buffers chunks for a disconnected entry.
     read_slowly(&fleet, Duration::from_secs(6), &fleet.sidecars[0]);
     assert_that!(fleet.sidecars[0].wait(), eq(0));
     fleet.sidecars[0].start();
@@ -114,41 +113,43 @@
     assert_that!(fleet.entries[0].wait(), eq(0));
 }
 
-/// Begins a long stream, stops a daemon, pauses, and reads the rest slowly.
+/// Starts a long stream, stops a daemon, pauses, and reads the rest slowly.
 fn read_slowly(fleet: &Fleet, pause: Duration, stopped: &Daemon) {
     const LONG: u32 = 30_000;
     const READ_BYTES: usize = 64 * 1024;
     const SLOW_BYTES: usize = 1_500_000;
-    let mut line = fleet.caller(0).raw_stream(PROMPT, LONG);
+    let mut connection = fleet.caller(0).raw_stream(PROMPT, LONG);
     let mut buf = vec![0; READ_BYTES];
     let mut received = vec![0; 1024];
-    line.read_exact(&mut received).expect("the stream begins");
+    connection
+        .read_exact(&mut received)
+        .expect("the stream starts");
     stopped.signal(Signal::Term);
     std::thread::sleep(pause);
     loop {
-        match line
+        match connection
             .read(&mut buf)
-            .expect("the connection ends as it should")
+            .expect("the connection is closed without an error")
         {
             0 => break,
             len => received.extend_from_slice(&buf[..len]),
         }
-        // The system's buffers take the last megabytes; what the process itself holds for longest
-        // comes before them.
+        // The last megabytes are in the system's buffers; those that the process holds longest come
+        // before them.
         if received.len() < SLOW_BYTES {
             std::thread::sleep(Duration::from_millis(100));
         }
     }
-    let text = String::from_utf8(received).expect("UTF-8");
-    // The last chunk of the body, by which the caller knows that it has it all.
+    let text = String::from_utf8(received).expect("the response is UTF-8");
+    // The last chunk of a chunked body marks a complete response.
     assert!(
         text.ends_with("\r\n0\r\n\r\n"),
-        "cut after {} bytes",
+        "truncated after {} bytes",
         text.len()
     );
     assert!(
         text.contains("data: [DONE]"),
-        "cut after {} bytes",
+        "truncated after {} bytes",
         text.len()
     );
     let tokens = text.matches("\"content\":\"").count();
--- a/tests/testsuite/processes/sidecar_loss.rs
+++ b/tests/testsuite/processes/sidecar_loss.rs
@@ -1,4 +1,4 @@
-//! A sidecar that is killed, and callers that go away.
+//! Sidecars that are killed and callers that disconnect.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use super::fleet::{Fleet, Plan};
 
 const PROMPT: &str = "a full specification of primer, screed and topcoat";
-/// More than the stream brings before it is cut off.
+/// More than a stream receives before it breaks.
 const TOKENS: u32 = 2_000;
 
 fn plan() -> Plan {
@@ -28,41 +28,43 @@
     }
 }
 
-/// A caller hangs up in the middle of its stream: the engine must not go on for nobody. Then the
-/// sidecar dies in the middle of a stream, and in the middle of a booking. The stream ends in an
-/// explicit error event. The booking is unknown, since the order service may have made it; sent
-/// again it is in doubt or found by rereading, and never made twice.
+/// Guards against an engine that continues for a disconnected caller, a stream that is truncated
+/// without an error event when its sidecar is killed, and a booking that is made twice when the
+/// sidecar is killed before the outcome is known.
 #[test]
-fn a_lost_sidecar_or_caller_leaves_no_silent_cut_and_no_second_booking() {
+fn a_lost_sidecar_or_caller_causes_no_silent_truncation_and_no_second_booking() {
     let mut fleet = Fleet::start(plan());
-    a_caller_goes_away(&fleet);
-    a_sidecar_dies_in_a_stream(&mut fleet);
-    a_sidecar_dies_in_a_booking(&mut fleet);
+    disconnect_caller_during_stream(&fleet);
+    kill_sidecar_during_stream(&mut fleet);
+    kill_sidecar_during_booking(&mut fleet);
 }
 
-fn a_caller_goes_away(fleet: &Fleet) {
+fn disconnect_caller_during_stream(fleet: &Fleet) {
     let engine = &fleet.engines[0];
     let before = engine.stats();
     let mut stream = fleet.caller(0).stream(PROMPT, TOKENS);
     stream.read_tokens(3);
     drop(stream);
-    let gone = Instant::now();
-    wait_until("the engine is free", || engine.stats().running == 0);
-    println!("work ended {:?} after its caller had gone", gone.elapsed());
+    let disconnected_at = Instant::now();
+    wait_until("the engine is idle", || engine.stats().running == 0);
+    println!(
+        "the engine was idle {:?} after the caller had disconnected",
+        disconnected_at.elapsed()
+    );
     let after = engine.stats();
-    let ended = |stats: &coltsfootnotch_fakes::EngineStats| stats.cancelled + stats.abandoned;
-    assert_that!(ended(&after), eq(ended(&before) + 1));
+    let unfinished = |stats: &coltsfootnotch_fakes::EngineStats| stats.cancelled + stats.abandoned;
+    assert_that!(unfinished(&after), eq(unfinished(&before) + 1));
     assert_that!(after.finished, eq(before.finished));
     assert_that!(after.tokens - before.tokens, lt(u64::from(TOKENS)));
 }
 
-fn a_sidecar_dies_in_a_stream(fleet: &mut Fleet) {
+fn kill_sidecar_during_stream(fleet: &mut Fleet) {
     let mut stream = fleet.caller(0).stream(PROMPT, TOKENS);
     stream.read_tokens(3);
     fleet.sidecars[0].kill();
     stream.read_to_end();
-    assert!(!stream.is_whole(), "a stream that was cut off looks whole");
-    let error = stream.error().expect("an error event");
+    assert!(!stream.is_complete(), "a truncated stream looks complete");
+    let error = stream.error().expect("the stream ends with an error event");
     assert_that!(error["error"]["run"].as_str(), some(eq("yes")));
     assert_that!(
         expected_answer(PROMPT, TOKENS),
@@ -72,7 +74,7 @@
     fleet.wait_ready();
 }
 
-fn a_sidecar_dies_in_a_booking(fleet: &mut Fleet) {
+fn kill_sidecar_during_booking(fleet: &mut Fleet) {
     const KEY: &str = "sample-order-1";
     let caller = fleet.caller(0);
     let first = {
@@ -80,9 +82,11 @@
         thread::spawn(move || caller.book(KEY))
     };
     let service = &fleet.services[0];
-    wait_until("the service works on it", || service.stats().running == 1);
+    wait_until("the service handles the booking", || {
+        service.stats().running == 1
+    });
     fleet.sidecars[1].kill();
-    let (status, body) = first.join().expect("an answer");
+    let (status, body) = first.join().expect("the booking thread finishes");
     assert_that!(status, ge(500));
     assert_that!(body["error"]["run"].as_str(), some(eq("unknown")));
     let count = || fleet.services[0].bookings().get(KEY).copied().unwrap_or(0);
@@ -99,7 +103,8 @@
     assert_that!(other.0, eq(201));
 }
 
-/// Without its sidecar the service can't be asked either; then the call is refused as not run.
+/// Checks that a repeated booking is found by rereading, is in doubt, or is refused as not run,
+/// which happens without the sidecar of the service.
 #[track_caller]
 fn assert_in_doubt_or_reread((status, body): &(u16, serde_json::Value), bookings: usize) {
     match *status {
