--- a/src/coltsfootnotch/daemon/sidecar/actor.rs
+++ b/src/coltsfootnotch/daemon/sidecar/actor.rs
@@ -252,7 +252,8 @@
     }
 
     /// Stops sending requests to an upstream that is unreachable or has crashed, until its next
-    /// announcement. This prevents a loop of requests that fail and free its slots.
+    /// announcement. This keeps its slots from being refilled with failing requests at round-trip
+    /// rate.
     pub(super) fn mark_unreachable(&mut self, upstream: &UpstreamName, event: UpstreamEvent) {
         self.upstreams.fire(upstream, event);
         let now = self.cx.now();
--- a/src/coltsfootnotch/daemon/sidecar/orders/lease_claim.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/lease_claim.rs
@@ -39,14 +39,14 @@
         self.candidates = candidates;
         self.refusals = 0;
         self.retry_at = Duration::ZERO;
-        let kept = self
+        let kept_index = self
             .candidates
             .iter()
             .position(|candidate| Some(candidate) == previous.as_ref());
-        if let (None, Some(old)) = (kept, &previous) {
+        if let (None, Some(old)) = (kept_index, &previous) {
             leases.release(&old.lease);
         }
-        self.current = kept.unwrap_or(0);
+        self.current = kept_index.unwrap_or(0);
     }
 
     /// Returns the held lease, or else requests the next candidate. Once all candidates were
--- a/src/coltsfootnotch/daemon/sidecar/orders/mod.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/mod.rs
@@ -60,10 +60,10 @@
 impl EngineOrders {
     /// Creates the state of a sidecar without engines.
     #[must_use]
-    pub fn new(me: ProcessId, drift: DriftBound) -> Self {
+    pub fn new(process: ProcessId, drift: DriftBound) -> Self {
         Self {
             engines: BTreeMap::new(),
-            leases: LeaseSet::new(me, drift),
+            leases: LeaseSet::new(process, drift),
             records: PendingRecords::default(),
             stopped_at: None,
         }
