--- a/src/coltsfootnotch/daemon/sidecar/announced.rs
+++ b/src/coltsfootnotch/daemon/sidecar/announcement_handlers.rs
@@ -1,4 +1,4 @@
-//! What the actor does with announcements and orders.
+//! Handlers of the actor for announcements of upstreams and for orders to engines.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 use coltsfootnotch_wire::announce::Announcement;
 
 use super::actor::{SidecarActor, SidecarMsg};
-use super::orders::{self, OrderEnd};
-use super::upstreams::Announced;
+use super::orders::{self, OrderOutcome};
+use super::upstream_table::AnnouncementEffect;
 use crate::core::HostCx;
 use crate::util::events;
 
-/// Time in which a plain service should answer; beyond it, it is let hold less.
+/// Target latency of a plain service; above it the window of the service shrinks.
 const SERVICE_LATENCY: Duration = Duration::from_millis(250);
 
 impl SidecarActor {
-    pub(super) fn on_announced(&mut self, announcement: &Announcement) {
+    pub(super) fn on_announcement(&mut self, announcement: &Announcement) {
         let now = self.cx.now();
         let name = &announcement.name;
         match self
             .upstreams
-            .announce(announcement, self.cfg.limits.upstreams)
+            .apply_announcement(announcement, self.cfg.limits.upstreams)
         {
-            Announced::TooMany => return,
-            Announced::New => self.cx.log(
+            AnnouncementEffect::LimitReached => return,
+            AnnouncementEffect::Added => self.cx.log(
                 &events::UPSTREAM_ANNOUNCED,
                 &[
                     ("upstream", name),
@@ -34,20 +34,20 @@
                     ("address", &announcement.address),
                 ],
             ),
-            Announced::Leaving => self
+            AnnouncementEffect::StartedLeaving => self
                 .cx
                 .log(&events::UPSTREAM_LEAVING, &[("upstream", name)]),
-            Announced::Same => {}
+            AnnouncementEffect::Unchanged => {}
         }
-        let cached = self.upstreams.cached(announcement);
-        self.core.add_cached_prefixes(&announcement.pool, &cached);
-        self.orders.announced(now, announcement);
+        let digests = self.upstreams.new_cached_prefixes(announcement);
+        self.core.add_cached_prefixes(&announcement.pool, &digests);
+        self.orders.on_announcement(now, announcement);
         let update = UpstreamUpdate {
             live_until: now + announcement.ttl,
             leaving: announcement.leaving || !self.serves_pool(announcement),
             queued: announcement.load.waiting,
             reported: now.saturating_sub(Duration::from_millis(announcement.load.age_ms)),
-            targets: self.targets(&announcement.pool),
+            targets: self.window_targets(&announcement.pool),
         };
         let pool = announcement.pool.clone();
         self.core
@@ -55,8 +55,8 @@
             .apply_announcement(now, name.clone(), pool, update);
     }
 
-    /// What the windows of a pool aim at.
-    fn targets(&self, pool: &PoolName) -> WindowTargets {
+    /// Latency targets for the windows of a pool.
+    fn window_targets(&self, pool: &PoolName) -> WindowTargets {
         let config = self.relay.config();
         match config.and_then(|config| config.model(pool.as_str())) {
             Some(model) => WindowTargets {
@@ -67,16 +67,16 @@
         }
     }
 
-    /// Whether the upstream has what its pool needs. An engine that waits for an order to load it
-    /// would answer every request with an error.
+    /// Whether the upstream has loaded what its pool needs. Until then an engine answers every
+    /// request with an error.
     fn serves_pool(&self, announcement: &Announcement) -> bool {
         let config = self.relay.config();
         let model = config.and_then(|config| config.model(announcement.pool.as_str()));
-        model.is_none_or(|model| orders::serves(model, &announcement.models))
+        model.is_none_or(|model| orders::can_serve_pool(model, &announcement.models))
     }
 
     /// Sends the orders that are due.
-    pub(super) fn give_orders(&mut self, now: Duration) {
+    pub(super) fn send_orders(&mut self, now: Duration) {
         let config = self.relay.config().cloned();
         let relay = &mut self.relay;
         let propose = |command| relay.propose(command);
@@ -92,42 +92,45 @@
             );
             let tx = self.tx.clone();
             self.cx.runtime.spawn_blocking(move || {
-                let end = call.run();
-                tx.send(SidecarMsg::OrderEnded { upstream, end });
+                let outcome = call.run();
+                tx.send(SidecarMsg::OrderFinished { upstream, outcome });
             });
         }
     }
 
-    /// An order has ended.
-    pub(super) fn on_order_ended(&mut self, upstream: &UpstreamName, end: OrderEnd) {
-        let Some(ended) = self.orders.ended(self.cx.now(), upstream, end) else {
+    /// Handles the outcome of an order.
+    pub(super) fn on_order_finished(&mut self, upstream: &UpstreamName, outcome: OrderOutcome) {
+        let Some(order) = self
+            .orders
+            .on_order_finished(self.cx.now(), upstream, outcome)
+        else {
             return;
         };
-        if ended.changes_version {
+        if order.changes_version {
             let now = self.cx.now();
             let slots = self.core.upstreams_mut().get_mut(upstream);
             slots
                 .into_iter()
                 .for_each(|slots| slots.on_version_change(now));
         }
-        let event = match end {
-            OrderEnd::Done => &events::ORDER_DONE,
-            OrderEnd::OldNumber => &events::ORDER_REFUSED,
-            OrderEnd::Status(_) | OrderEnd::NoAnswer => &events::ORDER_FAILED,
+        let event = match outcome {
+            OrderOutcome::Done => &events::ORDER_DONE,
+            OrderOutcome::StaleNumber => &events::ORDER_REFUSED,
+            OrderOutcome::Status(_) | OrderOutcome::NoResponse => &events::ORDER_FAILED,
         };
         self.cx.log(
             event,
             &[
-                ("upstream", &ended.upstream),
-                ("name", &ended.name),
-                ("fence", &ended.fence),
-                ("end", &ended.end),
+                ("upstream", &order.upstream),
+                ("name", &order.name),
+                ("fence", &order.fence),
+                ("end", &order.outcome),
             ],
         );
     }
 }
 
-/// This process, as the log knows the holder of a lease.
+/// Identity of this process as the holder of a lease.
 pub(super) fn process_id(cx: &HostCx) -> ProcessId {
     ProcessId {
         host: cx.identity.host.clone(),
--- a/tests/testsuite/orders_random.rs
+++ b/tests/testsuite/orders_random.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use coltsfootnotch::core::{decode_op, encode_reply};
-use coltsfootnotch::daemon::sidecar::orders::{OrderCall, OrderEnd, Orders};
+use coltsfootnotch::daemon::sidecar::orders::{EngineOrders, OrderCall, OrderOutcome};
 use coltsfootnotch::ops::fleet::FleetPlan;
 use coltsfootnotch_manifest::{Adapter, ConfigIndex, Manifest};
 use coltsfootnotch_state::{Command, DriftBound, LogTime, Op, ProcessId, StateMachine};
@@ -31,14 +31,14 @@
 }
 
 struct Process {
-    orders: Orders,
+    orders: EngineOrders,
     id: ProcessId,
     /// Rate of its clock, relative to simulated time.
     clock_rate: f64,
     next_id: u64,
     /// Time until which it has no connection to its relay.
     offline_until: Duration,
-    order: Option<(Duration, OrderEnd)>,
+    order: Option<(Duration, OrderOutcome)>,
 }
 
 enum Packet {
@@ -57,7 +57,7 @@
     max_delay_ms: u64,
     processes: Vec<Process>,
     packets: Vec<(Duration, ProcessId, u64, Packet)>,
-    /// Orders received by the engine: fencing number, start and end.
+    /// EngineOrders received by the engine: fencing number, start and end.
     received: Vec<(u64, Duration, Duration)>,
 }
 
@@ -67,7 +67,7 @@
         incarnation: Incarnation(rng.random()),
     };
     Process {
-        orders: Orders::new(id.clone(), DriftBound::new(DRIFT_PPM)),
+        orders: EngineOrders::new(id.clone(), DriftBound::new(DRIFT_PPM)),
         id,
         clock_rate: if rng.random() { 0.9 } else { 1.1 },
         next_id: 0,
@@ -146,10 +146,10 @@
         if number.is_multiple_of(20) {
             process
                 .orders
-                .announced(local, &announcement(&["spec-llm"]));
+                .on_announcement(local, &announcement(&["spec-llm"]));
         }
         if let Some((_, end)) = process.order.take_if(|(end_at, _)| self.now >= *end_at) {
-            process.orders.ended(local, &upstream, end);
+            process.orders.on_order_finished(local, &upstream, end);
         }
         let (id, is_offline) = (process.id.clone(), self.now < process.offline_until);
         let (packets, rng, now) = (&mut self.packets, &mut self.rng, self.now);
@@ -175,8 +175,8 @@
         let timeout = call.timeout.div_f64(self.processes[at].clock_rate);
         let end_at = self.now + duration.min(timeout);
         let end = match duration < timeout {
-            true => OrderEnd::Done,
-            false => OrderEnd::NoAnswer,
+            true => OrderOutcome::Done,
+            false => OrderOutcome::NoResponse,
         };
         self.processes[at].order = Some((end_at, end));
         self.received.push((call.fence.0, self.now, end_at));
@@ -202,7 +202,7 @@
                     let process = self.processes.iter_mut().find(|process| process.id == to);
                     if let Some(process) = process.filter(|process| now >= process.offline_until) {
                         let local = now.mul_f64(process.clock_rate);
-                        process.orders.answered(local, id, &Ok(bytes));
+                        process.orders.on_reply(local, id, &Ok(bytes));
                     }
                 }
             }
@@ -253,7 +253,7 @@
         sim.now += STEP;
         let now = sim.now;
         let orders = &mut sim.processes[at].orders;
-        orders.announced(now, &announcement(models));
+        orders.on_announcement(now, &announcement(models));
         let mut proposed = vec![];
         let propose = |command| {
             proposed.push(command);
@@ -267,7 +267,7 @@
         );
         for (id, command) in (1..).zip(proposed) {
             let reply = sim.commit(decode_op(&command).unwrap());
-            sim.processes[at].orders.answered(now, id, &Ok(reply));
+            sim.processes[at].orders.on_reply(now, id, &Ok(reply));
         }
     }
     sent
