--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_platform_peers::{DEADLINE_MS, REQUEST_ID, STAMP, TOKENS};
+use coltsfootnotch_platform_peers::{DEADLINE_MS, REQUEST_ID, RESPONSE_STAMP, TOKEN_USAGE};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::sleep;
@@ -138,12 +138,12 @@
         .header("host", HOST)
         .header(REQUEST_ID, id)
         .header(DEADLINE_MS, PATIENCE.as_millis().to_string())
-        .header(TOKENS, "200,24")
+        .header(TOKEN_USAGE, "200,24")
         .header("authorization", bearer);
     let mut answer = req.send("a body").ok()?;
     Some(Got {
         status: answer.status().as_u16(),
-        marked: answer.headers().contains_key(STAMP),
+        marked: answer.headers().contains_key(RESPONSE_STAMP),
         body: answer
             .body_mut()
             .read_to_string()
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::path::{Path as FilePath, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use coltsfootnotch_platform_peers::HostText;
+use coltsfootnotch_platform_peers::HostSettings;
 
 use crate::controls::Controls;
 use crate::process::Process;
@@ -199,22 +199,22 @@
             .map(|n| self.addresses.operators(*n));
         let seeds: Vec<SocketAddr> = seeds.collect();
         let at = |port| SocketAddr::new(ip, port);
-        HostText {
+        HostSettings {
             name: &name,
             domain: "north",
             ip,
             advertised_ip: self.addresses.reached(place),
-            first_port: FIRST_PORT,
+            first_internal_port: FIRST_PORT,
             seeds: &seeds,
             first_start,
-            data: matches!(place, Place::Control(_)).then_some(&*data),
-            callers: at(CALLERS_PORT),
-            readiness: at(READINESS_PORT),
-            operators: at(OPERATORS_PORT),
+            data_dir: matches!(place, Place::Control(_)).then_some(&*data),
+            http_address: at(CALLERS_PORT),
+            readiness_address: at(READINESS_PORT),
+            control_address: at(OPERATORS_PORT),
             grace_s: GRACE_S,
             revoke_ms: REVOKE_MS,
         }
-        .settings()
+        .to_toml()
     }
 
     /// Control hosts.
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use coltsfootnotch_platform_peers::{CONFIG_GET, CONFIG_PUT, ConfigText, RouteText};
+use coltsfootnotch_platform_peers::{
+    CONFIG_GET_PATH, CONFIG_PUT_PATH, OperatorConfig, RouteConfig,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::sleep;
@@ -79,7 +81,7 @@
 
     /// What one control host reads back.
     pub async fn read(&self, control: usize) -> Option<String> {
-        let url = format!("http://{}{CONFIG_GET}", self.address(control));
+        let url = format!("http://{}{CONFIG_GET_PATH}", self.address(control));
         let agent = self.agent.clone();
         let call = move || {
             let mut answer = agent.get(&url).call().ok()?;
@@ -167,7 +169,7 @@
     async fn put(&self, number: u64, text: String) {
         // Every control host may be down for seconds; the order is sent again until one answers.
         loop {
-            match self.calls.post(CONFIG_PUT, text.clone()).await {
+            match self.calls.post(CONFIG_PUT_PATH, text.clone()).await {
                 200 => return self.acknowledged(number),
                 status @ (400 | 409 | 412 | 413 | 422) => {
                     let what = format!("number {number}, which is valid, is refused with {status}");
@@ -256,13 +258,13 @@
 }
 
 fn text(desk: &Desk, mark: u32) -> String {
-    let route = |name, prefix, kind, resumable, service, attempts| RouteText {
+    let route = |name, prefix, kind, resumable, service, max_attempts| RouteConfig {
         name,
         prefix,
         kind,
         resumable,
         service,
-        attempts,
+        max_attempts,
         timeout_ms: 4_000,
     };
     let [plain, engine] = SERVICES;
@@ -276,13 +278,13 @@
         routes.push(route("other", "/other/", "safe", false, plain, 1));
     }
     let keys = desk.keys.iter().cloned().collect();
-    ConfigText {
+    OperatorConfig {
         number: desk.number,
         host: HOST,
         routes: &routes,
-        plain: &[plain],
-        engines: &[engine],
+        plain_services: &[plain],
+        engine_services: &[engine],
         accounts: &[(ACCOUNT, keys)],
     }
-    .body()
+    .to_json()
 }
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use coltsfootnotch_platform_peers::SETTINGS_VARIABLE;
+use coltsfootnotch_platform_peers::SETTINGS_ENV;
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::time::sleep;
 
@@ -62,7 +62,7 @@
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&self.binary)
             .arg(self.role)
-            .env(SETTINGS_VARIABLE, &self.settings)
+            .env(SETTINGS_ENV, &self.settings)
             .stdin(Stdio::null())
             .stderr(log.try_clone()?)
             .stdout(log)
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -195,7 +195,10 @@
 }
 
 fn ready(at: SocketAddr) -> bool {
-    let url = format!("http://{at}{}", coltsfootnotch_platform_peers::READY);
+    let url = format!(
+        "http://{at}{}",
+        coltsfootnotch_platform_peers::READINESS_PATH
+    );
     ureq::get(&url).call().is_ok()
 }
 
--- a/soak/src/upstream/answer.rs
+++ b/soak/src/upstream/answer.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use coltsfootnotch_platform_peers::{EXPECTED_UPSTREAM, LAST_EVENT, NOT_RUN, REQUEST_ID, STAMP};
+use coltsfootnotch_platform_peers::{
+    EXPECTED_UPSTREAM, LAST_EVENT, NOT_EXECUTED, REQUEST_ID, RESPONSE_STAMP,
+};
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Frame, Incoming};
@@ -61,7 +63,7 @@
 ) -> Result<Response<Body>, Broken> {
     let id = header(&req, REQUEST_ID).unwrap_or("-").to_owned();
     if header(&req, EXPECTED_UPSTREAM) != Some(&run.id) {
-        let marks = [(NOT_RUN, "1"), (STAMP, "s")];
+        let marks = [(NOT_EXECUTED, "1"), (RESPONSE_STAMP, "s")];
         return Ok(reply(
             StatusCode::MISDIRECTED_REQUEST,
             &id,
@@ -81,7 +83,7 @@
     // The body is the caller's; what matters is that it came whole.
     let _body = req.into_body().collect().await.map_err(|_| Broken)?;
     let stamp = format!("s.{id}");
-    let marks = [(STAMP, stamp.as_str())];
+    let marks = [(RESPONSE_STAMP, stamp.as_str())];
     if state.loses_answers && !is_stream {
         sleep(WORK).await;
         return Err(Broken);
--- a/soak/src/upstream/mod.rs
+++ b/soak/src/upstream/mod.rs
@@ -135,7 +135,7 @@
         run.state().draining = true;
         for _ in 0..10 {
             let path = announce_path(&run.id);
-            if self.calls.post(&path, run.text().announcement()).await == 200 {
+            if self.calls.post(&path, run.text().announcement_body()).await == 200 {
                 run.state().left = Some(self.book.now());
                 break;
             }
@@ -143,7 +143,7 @@
         sleep(SERVES_ON).await;
         let path = leave_path(&run.id);
         // Without an acknowledgement it ends all the same, as real ones do.
-        let _status = self.calls.post(&path, run.text().leave()).await;
+        let _status = self.calls.post(&path, run.text().leave_body()).await;
         self.crash();
     }
 }
@@ -164,7 +164,7 @@
     let path = announce_path(&run.id);
     loop {
         // Lost ones are followed by the next.
-        let _status = calls.post(&path, run.text().announcement()).await;
+        let _status = calls.post(&path, run.text().announcement_body()).await;
         sleep(ANNOUNCE_EVERY).await;
     }
 }
--- a/soak/src/upstream/run.rs
+++ b/soak/src/upstream/run.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use coltsfootnotch_platform_peers::UpstreamText;
+use coltsfootnotch_platform_peers::UpstreamReport;
 
 use super::SLOTS;
 
@@ -33,8 +33,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn text(&self) -> UpstreamText<'_> {
-        UpstreamText {
+    pub(super) fn text(&self) -> UpstreamReport<'_> {
+        UpstreamReport {
             service: self.service,
             address: self.address,
             domain: "north",
