--- a/src/coltsfootnotch/ops/load/caller.rs
+++ b/src/coltsfootnotch/ops/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: asks by its plan until the run ends, checks every answer and reports what it saw.
+//! One simulated caller: sends requests as planned until the run ends and checks every answer.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -14,31 +14,32 @@
 use super::recorder::Recorder;
 use super::target::Target;
 
-/// Bytes of the system message that all callers of an account share, so that prefixes are cached.
-const SYSTEM_BYTES: usize = 280;
-/// Share of chat completions that are asked for in one piece.
-const WHOLE_SHARE: f64 = 0.1;
-/// Sleeps are cut into pieces of this length, so that a caller ends with the run.
-const PAUSE_SLICE: Duration = Duration::from_millis(50);
-/// Pause after an answer that never came; without it a caller would spin on a dead entry.
-const NO_ANSWER_PAUSE: Duration = Duration::from_millis(200);
-/// Most times that a caller sends one booking.
-const BOOKING_TRIES: u32 = 6;
-/// Share of acknowledged bookings that the caller sends again, as after a lost screen.
-const BOOK_AGAIN_SHARE: f64 = 0.2;
+/// Length in bytes of the system message that all callers of an account share, so that engines can
+/// cache its prefix.
+const SYSTEM_MESSAGE_BYTES: usize = 280;
+/// Probability that a chat completion is requested without streaming.
+const UNSTREAMED_PROBABILITY: f64 = 0.1;
+/// Longest uninterrupted sleep, so that a caller stops soon after the run ends.
+const SLEEP_SLICE: Duration = Duration::from_millis(50);
+/// Backoff after a missing or truncated answer; prevents a busy loop on an unreachable entry.
+const NO_ANSWER_BACKOFF: Duration = Duration::from_millis(200);
+/// Maximum attempts for one order.
+const MAX_ORDER_ATTEMPTS: u32 = 6;
+/// Probability that a caller sends a finished order again with the same key.
+const RESEND_PROBABILITY: f64 = 0.2;
 
-/// One caller at work.
+/// A running caller.
 pub(super) struct Caller<'a> {
     target: &'a Target<'a>,
     recorder: &'a Recorder<'a>,
     plan: &'a CallerPlan,
     client: Client,
     started: Instant,
-    until: Instant,
+    ends_at: Instant,
     index: usize,
     seed: u64,
     rng: StdRng,
-    sent: u64,
+    sent_requests: u64,
 }
 
 impl<'a> Caller<'a> {
@@ -47,7 +48,7 @@
         recorder: &'a Recorder<'a>,
         plan: &'a CallerPlan,
         (index, seed): (usize, u64),
-        (started, until): (Instant, Instant),
+        (started, ends_at): (Instant, Instant),
     ) -> Self {
         let entry = target.entries[plan.entry % target.entries.len()];
         let key = target.accounts[plan.account].key.clone();
@@ -57,36 +58,36 @@
             plan,
             client: Client::new(entry, Some(key)),
             started,
-            until,
+            ends_at,
             index,
             seed,
             rng: StdRng::seed_from_u64(seed.wrapping_add(index as u64)),
-            sent: 0,
+            sent_requests: 0,
         }
     }
 
-    /// Asks until the run ends.
+    /// Sends requests until the run ends.
     pub(super) fn run(&mut self) {
-        // Callers don't start in step.
+        // Callers start at different times.
         let offset = self.rng.random_range(0..20);
-        self.pause(Duration::from_millis(offset));
-        while Instant::now() < self.until {
-            if !self.in_turn() {
+        self.sleep(Duration::from_millis(offset));
+        while Instant::now() < self.ends_at {
+            if !self.can_send() {
                 continue;
             }
-            self.sent += 1;
+            self.sent_requests += 1;
             match self.plan.ask {
-                Ask::Chat | Ask::CrashingChat => self.ask_chat(),
-                Ask::Booking => self.book(),
+                Ask::Chat | Ask::CrashingChat => self.send_chat(),
+                Ask::Booking => self.place_order(),
             }
             if let Pattern::Closed { pause } = self.plan.pattern {
-                self.pause(pause);
+                self.sleep(pause);
             }
         }
     }
 
-    /// Whether the plan lets the caller ask now; sleeps a little when it doesn't.
-    fn in_turn(&self) -> bool {
+    /// Whether the arrival pattern allows a request now; sleeps for [`SLEEP_SLICE`] if not.
+    fn can_send(&self) -> bool {
         let Pattern::Bursts { every, length } = self.plan.pattern else {
             return true;
         };
@@ -94,71 +95,71 @@
         if within < length.as_millis() {
             return true;
         }
-        self.pause(PAUSE_SLICE);
+        self.sleep(SLEEP_SLICE);
         false
     }
 
-    fn pause(&self, pause: Duration) {
-        let end = Instant::now() + pause;
+    fn sleep(&self, duration: Duration) {
+        let deadline = Instant::now() + duration;
         loop {
             let now = Instant::now();
-            if now >= end || now >= self.until {
+            if now >= deadline || now >= self.ends_at {
                 return;
             }
-            thread::sleep((end - now).min(PAUSE_SLICE));
+            thread::sleep((deadline - now).min(SLEEP_SLICE));
         }
     }
 
-    fn ask_chat(&mut self) {
-        let call = self.next_call();
+    fn send_chat(&mut self) {
+        let call = self.next_chat();
         let prompt = call.prompt();
         let account = self.plan.account;
         let recorder = self.recorder;
         let sent = Instant::now();
-        let number = recorder.send(account, call.stream);
+        let number = recorder.record_send(account, call.stream);
         let mut first = true;
         let answer = self.client.chat(&call, |progress| match progress {
-            Progress::Head if call.stream => recorder.head(account, sent.elapsed()),
+            Progress::Head if call.stream => recorder.record_head(account, sent.elapsed()),
             Progress::Head => {}
             Progress::Tokens(tokens) => {
                 if first && call.stream {
-                    recorder.first_token(account, number, sent.elapsed());
+                    recorder.record_first_token(account, number, sent.elapsed());
                 }
                 let prompt = if first { prompt_tokens(&prompt) } else { 0 };
                 first = false;
-                recorder.served(account, prompt, tokens);
+                recorder.record_service(account, prompt, tokens);
             }
         });
-        let correct = matches!(&answer, Answer::Whole(text)
+        let correct = matches!(&answer, Answer::Complete(text)
             if *text == expected_answer(&prompt, call.max_tokens));
-        recorder.end(account, number, &answer, correct);
-        if is_not_run(&answer) && self.plan.ask == Ask::Chat {
-            recorder.not_run(prompt);
+        recorder.record_answer(account, number, &answer, correct);
+        if is_refused_not_run(&answer) && self.plan.ask == Ask::Chat {
+            recorder.record_not_run(prompt);
         }
         self.back_off(&answer);
     }
 
-    fn next_call(&mut self) -> ChatCall {
+    fn next_chat(&mut self) -> ChatCall {
         let account = &self.target.accounts[self.plan.account];
         let system = format!("You answer the members of {}. ", account.name);
         let mut user = match self.plan.ask {
             Ask::CrashingChat => format!("{POISON_MARKER} of run {}", self.seed),
             _ => format!(
                 "run {} caller {} request {}: ",
-                self.seed, self.index, self.sent
+                self.seed, self.index, self.sent_requests
             ),
         };
         let prompt_tokens = self.rng.random_range(self.plan.prompt_tokens.clone());
         let prompt_bytes = 4 * prompt_tokens as usize;
         if self.plan.ask == Ask::Chat {
-            pad(&mut user, prompt_bytes.saturating_sub(SYSTEM_BYTES));
+            pad(&mut user, prompt_bytes.saturating_sub(SYSTEM_MESSAGE_BYTES));
         }
         let mut padded = system.clone();
-        pad(&mut padded, SYSTEM_BYTES);
+        pad(&mut padded, SYSTEM_MESSAGE_BYTES);
         let mut max_tokens = self.rng.random_range(self.plan.answer_tokens.clone());
-        let mut stream = !self.rng.random_bool(WHOLE_SHARE);
+        let mut stream = !self.rng.random_bool(UNSTREAMED_PROBABILITY);
         if self.plan.ask == Ask::CrashingChat {
-            // The caller sends the very same request again.
+            // Each request of this caller is identical.
             (max_tokens, stream) = (*self.plan.answer_tokens.start(), true);
         }
         ChatCall {
@@ -169,56 +170,56 @@
         }
     }
 
-    /// Waits as the answer says before the next request.
+    /// Waits before the next request, for as long as the answer's `Retry-After` says.
     fn back_off(&self, answer: &Answer) {
         match answer {
             Answer::Failed(failure) => {
-                self.pause(failure.retry_after.unwrap_or(NO_ANSWER_PAUSE));
+                self.sleep(failure.retry_after.unwrap_or(NO_ANSWER_BACKOFF));
             }
-            Answer::None | Answer::Cut => self.pause(NO_ANSWER_PAUSE),
-            Answer::Whole(_) => {}
+            Answer::Missing | Answer::Truncated => self.sleep(NO_ANSWER_BACKOFF),
+            Answer::Complete(_) => {}
         }
     }
 
-    /// Places one order until it is acknowledged, as a caller does that must not lose it.
-    fn book(&mut self) {
+    /// Sends one order until it is acknowledged or its attempts run out, then reads it back.
+    fn place_order(&mut self) {
         let Some(prefix) = &self.target.booking_prefix else {
-            return self.pause(PAUSE_SLICE);
+            return self.sleep(SLEEP_SLICE);
         };
-        let key = format!("load-{}-{}-{}", self.seed, self.index, self.sent);
+        let key = format!("load-{}-{}-{}", self.seed, self.index, self.sent_requests);
         let path = format!("{prefix}/orders");
         let order = json!({"account": self.target.accounts[self.plan.account].name, "key": key});
-        for _ in 0..BOOKING_TRIES {
-            let answer = self.book_once(&path, &key, &order);
-            if matches!(answer, Answer::Whole(_)) {
+        for _ in 0..MAX_ORDER_ATTEMPTS {
+            let answer = self.send_order(&path, &key, &order);
+            if matches!(answer, Answer::Complete(_)) {
                 break;
             }
             self.back_off(&answer);
-            if Instant::now() >= self.until {
+            if Instant::now() >= self.ends_at {
                 return;
             }
         }
-        if self.rng.random_bool(BOOK_AGAIN_SHARE) {
-            self.book_once(&path, &key, &order);
+        if self.rng.random_bool(RESEND_PROBABILITY) {
+            self.send_order(&path, &key, &order);
         }
-        self.reread(&format!("{path}/by-key/{key}"), &key, &order);
+        self.read_back(&format!("{path}/by-key/{key}"), &key, &order);
     }
 
-    fn book_once(&self, path: &str, key: &str, order: &Value) -> Answer {
-        let answer = self.counted(&order.to_string(), key, order, |body| {
+    fn send_order(&self, path: &str, key: &str, order: &Value) -> Answer {
+        let answer = self.record_call(&order.to_string(), key, order, |body| {
             self.client.call("POST", path, Some(key), body)
         });
-        self.recorder.key_answer(key, &answer);
+        self.recorder.record_key_answer(key, &answer);
         answer
     }
 
-    fn reread(&self, path: &str, key: &str, order: &Value) {
-        self.counted("", key, order, |body| {
+    fn read_back(&self, path: &str, key: &str, order: &Value) {
+        self.record_call("", key, order, |body| {
             self.client.call("GET", path, None, body)
         });
     }
 
-    fn counted(
+    fn record_call(
         &self,
         body: &str,
         key: &str,
@@ -227,28 +228,29 @@
     ) -> Answer {
         let account = self.plan.account;
         let sent = Instant::now();
-        let number = self.recorder.send(account, false);
+        let number = self.recorder.record_send(account, false);
         let answer = call(body);
-        if matches!(answer, Answer::Whole(_)) {
-            self.recorder.head(account, sent.elapsed());
+        if matches!(answer, Answer::Complete(_)) {
+            self.recorder.record_head(account, sent.elapsed());
         }
-        let correct = matches!(&answer, Answer::Whole(text) if is_booking(text, key, order));
-        self.recorder.end(account, number, &answer, correct);
+        let correct = matches!(&answer, Answer::Complete(text) if is_booking(text, key, order));
+        self.recorder
+            .record_answer(account, number, &answer, correct);
         answer
     }
 }
 
-fn is_not_run(answer: &Answer) -> bool {
+fn is_refused_not_run(answer: &Answer) -> bool {
     matches!(answer, Answer::Failed(failure) if failure.run == Some(Run::No))
 }
 
-/// Whether an answer of the order service is about this key and this order.
+/// Whether an answer of the order service matches this key and this order.
 fn is_booking(text: &str, key: &str, order: &Value) -> bool {
     let booking: Value = serde_json::from_str(text).unwrap_or_default();
     booking["key"] == key && booking["order"] == *order
 }
 
-/// Lengthens `text` to `bytes` with words; a longer text stays as it is.
+/// Pads `text` with words to `bytes`; a longer text is unchanged.
 fn pad(text: &mut String, bytes: usize) {
     if text.len() >= bytes {
         return;
--- a/src/coltsfootnotch/ops/load/client.rs
+++ b/src/coltsfootnotch/ops/load/client.rs
@@ -1,4 +1,4 @@
-//! One caller's HTTP: sends a request, reads the whole answer, and says what became of it.
+//! HTTP client of a caller: sends a request, reads the complete answer and classifies the outcome.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use ureq::http::Response;
 use ureq::{Agent, Body};
 
-/// Longest time for one answer; longer than any deadline that the examples set for a run.
+/// Timeout of one request.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest pause that a caller takes on a `Retry-After`, so that a short run still asks again.
+/// Upper bound on `Retry-After`, so that callers retry within a short run.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A chat completion to ask for.
+/// A chat completion request.
 #[derive(Debug, Clone)]
 pub(super) struct ChatCall {
     pub(super) model: String,
@@ -25,7 +25,7 @@
 }
 
 impl ChatCall {
-    /// The prompt as the stand-in engine sees it.
+    /// The prompt as the stand-in engine joins it.
     pub(super) fn prompt(&self) -> String {
         self.messages.join("\n")
     }
@@ -45,42 +45,42 @@
     }
 }
 
-/// What a caller was told when its request was not answered whole.
+/// An error answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Failure {
     /// HTTP status; 200 for a stream that ended in an error event.
     pub(super) status: u16,
-    /// Whether it was run; `None` when the error doesn't say.
+    /// Whether the request was run; `None` when the error doesn't state it.
     pub(super) run: Option<Run>,
-    /// Whether it is the upstream's own answer, passed on.
-    pub(super) of_upstream: bool,
-    /// When to ask again.
+    /// Whether the fleet passed on an error of the upstream.
+    pub(super) from_upstream: bool,
+    /// Delay before a retry, bounded by [`MAX_RETRY_AFTER`].
     pub(super) retry_after: Option<Duration>,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Answer {
-    /// The whole answer.
-    Whole(String),
-    /// An explicit error.
+    /// A complete answer with its text.
+    Complete(String),
+    /// An error answer or an error event in a stream.
     Failed(Failure),
     /// The answer ended early without an error.
-    Cut,
-    /// No connection, or no answer in time.
-    None,
+    Truncated,
+    /// The connection failed, or the request timed out.
+    Missing,
 }
 
-/// What a caller sees while its answer comes.
+/// Progress of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// The head of the answer.
+    /// The response head was received.
     Head,
-    /// Further tokens.
+    /// This many further tokens were received.
     Tokens(u32),
 }
 
-/// A caller's connection to one address.
+/// An HTTP client for one address.
 pub(super) struct Client {
     agent: Agent,
     address: SocketAddr,
@@ -102,28 +102,28 @@
         }
     }
 
-    /// Asks for a chat completion and reads it to its end.
-    pub(super) fn chat(&self, call: &ChatCall, mut seen: impl FnMut(Progress)) -> Answer {
+    /// Requests a chat completion and reads the answer to its end.
+    pub(super) fn chat(&self, call: &ChatCall, mut on_progress: impl FnMut(Progress)) -> Answer {
         let url = format!("http://{}/v1/chat/completions", self.address);
         let mut req = self.agent.post(url).content_type("application/json");
         if let Some(key) = &self.key {
             req = req.header("authorization", format!("Bearer {key}"));
         }
         let Ok(response) = req.send(call.body()) else {
-            return Answer::None;
+            return Answer::Missing;
         };
         if response.status().as_u16() != 200 {
             return Answer::Failed(failure(response));
         }
-        seen(Progress::Head);
+        on_progress(Progress::Head);
         if call.stream {
-            read_stream(response.into_body(), seen)
+            read_stream(response.into_body(), on_progress)
         } else {
-            read_whole(response.into_body(), seen)
+            read_completion(response.into_body(), on_progress)
         }
     }
 
-    /// Calls a plain service; an answer of 2xx is whole.
+    /// Calls a plain service; any 2xx answer counts as complete.
     pub(super) fn call(
         &self,
         method: &str,
@@ -141,12 +141,12 @@
         if let Some(key) = idempotency_key {
             req = req.header("idempotency-key", key);
         }
-        let sent = match method {
+        let result = match method {
             "GET" => req.body(()).map(|req| self.agent.run(req)),
             _ => req.body(body).map(|req| self.agent.run(req)),
         };
-        let Ok(Ok(mut response)) = sent else {
-            return Answer::None;
+        let Ok(Ok(mut response)) = result else {
+            return Answer::Missing;
         };
         if !response.status().is_success() {
             return Answer::Failed(failure(response));
@@ -154,7 +154,7 @@
         response
             .body_mut()
             .read_to_string()
-            .map_or(Answer::Cut, Answer::Whole)
+            .map_or(Answer::Truncated, Answer::Complete)
     }
 }
 
@@ -169,14 +169,14 @@
     let body: Value = serde_json::from_str(&body).unwrap_or_default();
     Failure {
         status,
-        run: run_of(&body),
-        of_upstream: body["error"]["source"] == "upstream",
+        run: parse_run(&body),
+        from_upstream: body["error"]["source"] == "upstream",
         retry_after,
     }
 }
 
-/// Whether an error says that its request was run.
-fn run_of(error: &Value) -> Option<Run> {
+/// The `run` field of an error body or error event.
+fn parse_run(error: &Value) -> Option<Run> {
     let run = error
         .get("run")
         .or_else(|| error.get("error")?.get("run"))?;
@@ -187,50 +187,50 @@
     u32::try_from(text.split_whitespace().count()).unwrap_or(u32::MAX)
 }
 
-fn read_whole(mut body: Body, mut seen: impl FnMut(Progress)) -> Answer {
+fn read_completion(mut body: Body, mut on_progress: impl FnMut(Progress)) -> Answer {
     let Ok(text) = body.read_to_string() else {
-        return Answer::Cut;
+        return Answer::Truncated;
     };
     let value: Value = serde_json::from_str(&text).unwrap_or_default();
     let choice = &value["choices"][0];
     match (&choice["message"]["content"], &choice["finish_reason"]) {
         (Value::String(content), Value::String(reason)) if reason == "length" => {
-            seen(Progress::Tokens(count_tokens(content)));
-            Answer::Whole(content.clone())
+            on_progress(Progress::Tokens(count_tokens(content)));
+            Answer::Complete(content.clone())
         }
-        _ => Answer::Cut,
+        _ => Answer::Truncated,
     }
 }
 
-/// Reads server-sent events up to `[DONE]`; a stream is whole only with a reason for its end.
-fn read_stream(body: Body, mut seen: impl FnMut(Progress)) -> Answer {
+/// Reads server-sent events up to `[DONE]`; a stream is complete only if it has a finish reason.
+fn read_stream(body: Body, mut on_progress: impl FnMut(Progress)) -> Answer {
     let mut content = String::new();
-    let mut ended = false;
+    let mut has_finish_reason = false;
     for line in BufReader::new(body.into_reader()).lines() {
         let Ok(line) = line else {
-            return Answer::Cut;
+            return Answer::Truncated;
         };
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
-        if data == "[DONE]" && ended {
-            return Answer::Whole(content);
+        if data == "[DONE]" && has_finish_reason {
+            return Answer::Complete(content);
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
         if event.get("error").is_some() || event.get("run").is_some() {
             return Answer::Failed(Failure {
                 status: 200,
-                run: run_of(&event),
-                of_upstream: false,
+                run: parse_run(&event),
+                from_upstream: false,
                 retry_after: None,
             });
         }
         let choice = &event["choices"][0];
         if let Some(text) = choice["delta"]["content"].as_str() {
             content.push_str(text);
-            seen(Progress::Tokens(count_tokens(text)));
+            on_progress(Progress::Tokens(count_tokens(text)));
         }
-        ended |= choice["finish_reason"] == "length";
+        has_finish_reason |= choice["finish_reason"] == "length";
     }
-    Answer::Cut
+    Answer::Truncated
 }
--- a/src/coltsfootnotch/ops/load/command.rs
+++ b/src/coltsfootnotch/ops/load/command.rs
@@ -1,4 +1,5 @@
-//! `coltsfootnotch load`: finds or starts the fleet, plays the scenario, prints and writes figures.
+//! `coltsfootnotch load`: starts the fleet if it is embedded, runs the scenario and writes the
+//! results.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -20,97 +21,98 @@
 use super::target::Target;
 use crate::ops::fleet::{Fleet, FleetError};
 
-/// Callers of the hop's throughput phases for each engine; half of the usual slots.
+/// Callers per engine in the hop's throughput phases; half of the default slots.
 const HOP_CALLERS_PER_ENGINE: usize = 4;
-/// Pairs of requests: enough for a p99, and half a minute at the pace of the embedded engines.
+/// Pairs of requests in the hop's latency measurement; enough for a p99.
 const HOP_PAIRS: usize = 150;
 const HOP_STREAMS: usize = 64;
 /// How long the hop's streams are open before memory is read.
-const HOP_OPEN: Duration = Duration::from_secs(2);
+const HOP_HOLD_TIME: Duration = Duration::from_secs(2);
 
-/// The fleet to drive.
+/// The fleet that receives the load.
 #[derive(Debug, Clone)]
 pub enum FleetChoice {
-    /// One in this process.
+    /// A fleet in this process.
     Embedded(EmbeddedFleet),
-    /// One that runs elsewhere.
+    /// A running fleet outside this process.
     Remote(RemoteFleet),
 }
 
-/// A fleet in this process.
+/// Options of a fleet in this process.
 #[derive(Debug, Clone)]
 pub struct EmbeddedFleet {
-    /// Its size.
+    /// Number of hosts and slots.
     pub size: Size,
-    /// How it chooses whose work is served.
+    /// Scheduling policy.
     pub policy: Policy,
-    /// Manifest whose accounts and replicas it takes, if any.
+    /// Manifest that accounts and replicas are taken from, if any.
     pub manifest: Option<PathBuf>,
-    /// How long it runs without callers first: new upstreams are let in slowly.
+    /// How long the fleet runs before the callers start; new upstreams receive load gradually.
     pub settle: Duration,
 }
 
-/// A fleet that runs elsewhere.
+/// Options of a fleet outside this process.
 #[derive(Debug, Clone)]
 pub struct RemoteFleet {
     /// Addresses of its entries.
     pub entries: Vec<SocketAddr>,
-    /// Its manifest, for accounts, weights, model and service.
+    /// Manifest with its accounts, weights, models and services.
     pub manifest: PathBuf,
-    /// What precedes the account's name in its bearer key.
+    /// Prefix of the account's name in its bearer key.
     pub key_prefix: String,
-    /// Slots of its engines, by which the number of callers is chosen.
+    /// Slots of all its engines, which determine the number of callers.
     pub slots: u32,
 }
 
-/// What the command is asked to do.
+/// Options of `coltsfootnotch load`.
 #[derive(Debug, Clone)]
 pub struct LoadCommand {
-    /// The fleet to drive.
+    /// The fleet that receives the load.
     pub fleet: FleetChoice,
-    /// What to play.
+    /// Scenario, length and seed.
     pub opts: LoadOptions,
-    /// Whether to measure what the hop costs instead of playing the scenario.
+    /// Whether to measure the overhead of the hop instead of running the scenario.
     pub hop: bool,
     /// Whether to print one JSON object instead of a table.
     pub json: bool,
-    /// Where to write the page with plots, if anywhere.
+    /// Path of the HTML report, if one is written.
     pub report: Option<PathBuf>,
 }
 
-/// Why a run failed, or what it found.
+/// Error of a load run.
 #[derive(Debug, Display, Error, From)]
 pub enum LoadError {
-    /// The embedded fleet can't run.
-    #[display("the fleet can't run")]
+    /// The embedded fleet failed.
+    #[display("the embedded fleet failed")]
     Fleet(FleetError),
-    /// A file or thread can't be had.
-    #[display("a file, thread or the output can't be used")]
+    /// A file, thread or output stream failed.
+    #[display("I/O error")]
     Io(io::Error),
-    /// The manifest has findings.
-    #[display("the manifest has findings")]
+    /// The manifest is invalid.
+    #[display("the manifest is invalid")]
     Manifest(Findings),
-    /// The figures can't be written as JSON.
-    #[display("the figures can't be written as JSON")]
+    /// The results can't be serialized as JSON.
+    #[display("cannot write the results as JSON")]
     Json(serde_json::Error),
-    /// The page can't be drawn.
-    #[display("the page can't be drawn")]
+    /// The HTML report can't be rendered.
+    #[display("cannot render the HTML report")]
     #[from(skip)]
     Page {
         /// The plotting library's error.
         source: Box<dyn error::Error>,
     },
-    /// An answer or a claim of the fleet was wrong.
-    #[display("answers or claims of the fleet were wrong; the figures say which")]
+    /// The fleet gave wrong answers.
+    #[display("the fleet gave wrong answers; see the counts in the results")]
     #[from(skip)]
     Wrong,
 }
 
-/// Runs the command; `out` takes the figures and `progress` a line about once a second.
+/// Runs the command; writes the results to `out` and passes a line about once a second to
+/// `progress`.
 ///
-/// # Errors
-/// Returns an error when the run can't be made, and [`LoadError::Wrong`] when the fleet gave a wrong
-/// or incomplete answer, doubled or lost a booking, or ran what it said had not run.
+/// # Errors Returns an error when the run fails, and [`LoadError::Wrong`] when the fleet gave a
+/// wrong, incomplete or untyped answer, doubled or lost a booking, or ran a request that it had
+/// refused as not run.
 pub fn load(
     command: &LoadCommand,
     out: &mut impl Write,
@@ -129,7 +131,7 @@
             let fleet = Fleet::start(&plan, &mut rng)?;
             thread::sleep(embedded.settle);
             let target = embedded_target(&fleet, embedded.policy);
-            let outcome = drive(command, &target, out, progress);
+            let outcome = run_on(command, &target, out, progress);
             drop(target);
             fleet.stop();
             outcome
@@ -142,7 +144,7 @@
                 slots_elsewhere: remote.slots,
                 ..remote_target(&manifest, key)
             };
-            drive(command, &target, out, progress)
+            run_on(command, &target, out, progress)
         }
     }
 }
@@ -152,7 +154,7 @@
     Ok(Manifest::parse(&path.display().to_string(), &text)?)
 }
 
-fn drive(
+fn run_on(
     command: &LoadCommand,
     target: &Target<'_>,
     out: &mut impl Write,
@@ -160,10 +162,10 @@
 ) -> Result<(), LoadError> {
     progress(&format!("seed {}", command.opts.seed));
     if command.hop {
-        return measure_hop(command, target, out, progress);
+        return run_hop(command, target, out, progress);
     }
     let run = run(target, &command.opts, progress)?;
-    print(command, &run, out)?;
+    write_results(command, &run, out)?;
     if run.summary.all_right() {
         Ok(())
     } else {
@@ -171,7 +173,11 @@
     }
 }
 
-fn print(command: &LoadCommand, run: &LoadRun, out: &mut impl Write) -> Result<(), LoadError> {
+fn write_results(
+    command: &LoadCommand,
+    run: &LoadRun,
+    out: &mut impl Write,
+) -> Result<(), LoadError> {
     if let Some(path) = &command.report {
         let html = page(run).map_err(|source| LoadError::Page { source })?;
         fs::write(path, html)?;
@@ -185,7 +191,7 @@
     Ok(())
 }
 
-fn measure_hop(
+fn run_hop(
     command: &LoadCommand,
     target: &Target<'_>,
     out: &mut impl Write,
@@ -196,7 +202,7 @@
         pairs: HOP_PAIRS,
         phase: command.opts.length / 2,
         callers: HOP_CALLERS_PER_ENGINE * engines.max(1),
-        open: HOP_OPEN,
+        open: HOP_HOLD_TIME,
         streams: HOP_STREAMS.min(target.slots() as usize),
     };
     let cost = hop(target, &opts, progress)?;
--- a/src/coltsfootnotch/ops/load/embedded.rs
+++ b/src/coltsfootnotch/ops/load/embedded.rs
@@ -1,4 +1,4 @@
-//! The fleet in this process that `load --embedded` drives.
+//! Plan and target of the fleet that `load --embedded` runs in this process.
 
 use std::time::Duration;
 
@@ -11,48 +11,49 @@
 use super::target::{LoadAccount, Target};
 use crate::ops::fleet::{AccountPlan, Fleet, FleetPlan, demo_key};
 
-/// Control hosts of an embedded fleet: the fewest that outlive the loss of one.
-const CONTROL: usize = 3;
-/// Entries of a fleet sized by a manifest: one in each failure domain of the examples.
-const MANIFEST_ENTRIES: usize = 3;
-/// Accounts of a fleet without a manifest: the sizes of today, 16 with a few large ones.
+/// Control hosts of an embedded fleet; three tolerate the loss of one.
+const CONTROL_HOSTS: usize = 3;
+/// Entries of a fleet sized by a manifest.
+const ENTRIES_WITH_MANIFEST: usize = 3;
+/// Accounts of a fleet without a manifest, and how many of them are large.
 const ACCOUNTS: usize = 16;
 const LARGE_ACCOUNTS: usize = 3;
 const LARGE_WEIGHT: u32 = 4;
-/// Requests of one account that wait at one entry; no scenario reaches it.
-const QUEUE: u32 = 2_000;
-/// Faults of the order service in the booking scenario: often enough for dozens in ten seconds.
-const LOSE_ANSWER: f64 = 0.05;
-const FAIL_BEFORE: f64 = 0.03;
-const FAIL_AFTER: f64 = 0.03;
-/// Pace of the engines: a token in 5 ms lets one machine play a hundred slots.
-const FIRST_TOKEN: Duration = Duration::from_millis(10);
-const TOKEN: Duration = Duration::from_millis(5);
-/// Targets that fit the pace: with those of a real engine, a hundred times slower, sidecars would
-/// let requests wait inside the stand-ins for a second before they call an engine full.
+/// Queue limit of one account at one entry; higher than any scenario reaches.
+const QUEUE_LIMIT: u32 = 2_000;
+/// Fault probabilities of the order service in the booking scenario.
+const LOST_ANSWER_PROBABILITY: f64 = 0.05;
+const FAIL_BEFORE_PROBABILITY: f64 = 0.03;
+const FAIL_AFTER_PROBABILITY: f64 = 0.03;
+/// Latencies of the engines: 5 ms per token lets one machine simulate a hundred slots.
+const FIRST_TOKEN_LATENCY: Duration = Duration::from_millis(10);
+const TOKEN_LATENCY: Duration = Duration::from_millis(5);
+/// Latency targets that match the stand-in engines. The targets of a real engine are much higher
+/// and make sidecars queue requests inside the stand-ins for up to a second.
 const TARGETS: Targets = Targets {
     first_token_ms: 60,
     between_tokens_ms: 10,
 };
-/// Longest lag of a sidecar's knowledge of service elsewhere: a report and its relaying.
-const KNOWLEDGE_AGE: Duration = Duration::from_millis(500);
+/// Maximum age of a sidecar's record of service on other hosts: one report interval and its
+/// relaying.
+const MAX_STALENESS: Duration = Duration::from_millis(500);
 
-/// Weights of a manifest without a model, of which nothing can be asked.
+/// Token weights for a manifest without a model; no chat request is counted with them.
 const NO_MODEL_WEIGHTS: TokenWeights = TokenWeights {
     input: 1,
     output: 1,
 };
 
-/// The size of an embedded fleet.
+/// Size of an embedded fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size {
-    /// Hosts in all; what is left after control, entries and services runs engines.
+    /// Total number of hosts; those left after control hosts, entries and services run engines.
     pub hosts: usize,
     /// Slots of each engine.
     pub slots: u32,
 }
 
-/// The plan of a fleet for `scenario`; accounts and replicas come from `manifest` when there is one.
+/// Plans a fleet for `scenario`; accounts and replicas come from `manifest` if there is one.
 #[must_use]
 pub fn fleet_plan(
     scenario: Scenario,
@@ -63,13 +64,13 @@
     let mut plan = FleetPlan::demo();
     let template = (plan.engines[0].clone(), plan.services[0].clone());
     let (engines, services) = match manifest {
-        Some(manifest) => replicas(manifest),
-        None => shares(scenario, size.hosts),
+        Some(manifest) => manifest_counts(manifest),
+        None => default_counts(scenario, size.hosts),
     };
-    plan.control = CONTROL;
+    plan.control = CONTROL_HOSTS;
     plan.entries = match manifest {
-        Some(_) => MANIFEST_ENTRIES,
-        None => entries(size.hosts),
+        Some(_) => ENTRIES_WITH_MANIFEST,
+        None => entry_count(size.hosts),
     };
     plan.engines = (1..=engines)
         .map(|number| engine(&template.0, number, size.slots))
@@ -78,28 +79,28 @@
         .map(|number| service(&template.1, number, scenario))
         .collect();
     plan.accounts = match manifest {
-        Some(manifest) => manifest.accounts.iter().map(planned).collect(),
-        None => (1..=ACCOUNTS).map(built_in).collect(),
+        Some(manifest) => manifest.accounts.iter().map(account_plan).collect(),
+        None => (1..=ACCOUNTS).map(default_account).collect(),
     };
     plan.policy = policy.into();
     plan.targets = TARGETS;
     plan
 }
 
-/// Entry hosts are thin and few.
-fn entries(hosts: usize) -> usize {
+/// Number of entries in a fleet of `hosts`.
+fn entry_count(hosts: usize) -> usize {
     if hosts < 16 { 2 } else { 3 }
 }
 
-/// Engines and services of a fleet of so many hosts, at least one of each.
-fn shares(scenario: Scenario, hosts: usize) -> (usize, usize) {
+/// Numbers of engines and services in a fleet of `hosts`, at least one of each.
+fn default_counts(scenario: Scenario, hosts: usize) -> (usize, usize) {
     let services = if scenario == Scenario::Bookings { 3 } else { 1 };
-    let rest = hosts.saturating_sub(CONTROL + entries(hosts) + services);
-    (rest.max(1), services)
+    let remaining = hosts.saturating_sub(CONTROL_HOSTS + entry_count(hosts) + services);
+    (remaining.max(1), services)
 }
 
-/// Engines and services that a manifest asks for.
-fn replicas(manifest: &Manifest) -> (usize, usize) {
+/// Numbers of engines and services in a manifest, at least one of each.
+fn manifest_counts(manifest: &Manifest) -> (usize, usize) {
     let versions = manifest.models.iter().flat_map(|model| &model.versions);
     let engines: u32 = versions.map(|version| version.replicas).sum();
     let services: u32 = manifest
@@ -114,8 +115,8 @@
     EngineConfig {
         name: format!("{}-{number}", template.pool),
         slots,
-        first_token: FIRST_TOKEN,
-        token: TOKEN,
+        first_token: FIRST_TOKEN_LATENCY,
+        token: TOKEN_LATENCY,
         seed: number as u64,
         ..template.clone()
     }
@@ -123,19 +124,19 @@
 
 fn service(template: &OrderConfig, number: usize, scenario: Scenario) -> OrderConfig {
     let faulty = scenario == Scenario::Bookings;
-    let often = |probability| if faulty { probability } else { 0.0 };
+    let probability_if_faulty = |probability| if faulty { probability } else { 0.0 };
     OrderConfig {
         name: format!("{}-{number}", template.pool),
-        lose_answer: often(LOSE_ANSWER),
-        fail_before: often(FAIL_BEFORE),
-        fail_after: often(FAIL_AFTER),
+        lose_answer: probability_if_faulty(LOST_ANSWER_PROBABILITY),
+        fail_before: probability_if_faulty(FAIL_BEFORE_PROBABILITY),
+        fail_after: probability_if_faulty(FAIL_AFTER_PROBABILITY),
         seed: number as u64,
-        // A clone shares the store, as replicas share a database.
+        // Clones share the store, as replicas of a service share a database.
         ..template.clone()
     }
 }
 
-fn planned(account: &Account) -> AccountPlan {
+fn account_plan(account: &Account) -> AccountPlan {
     AccountPlan {
         name: account.name.to_string(),
         weight: account.weight.get(),
@@ -144,18 +145,18 @@
     }
 }
 
-fn built_in(number: usize) -> AccountPlan {
+fn default_account(number: usize) -> AccountPlan {
     let large = number <= LARGE_ACCOUNTS;
     let kind = if large { "large" } else { "small" };
     AccountPlan {
         name: format!("{kind}-{number:02}"),
         weight: if large { LARGE_WEIGHT } else { 1 },
-        queue: QUEUE,
+        queue: QUEUE_LIMIT,
         requests_per_s: None,
     }
 }
 
-/// A running embedded fleet as the target of a run.
+/// Target for a running embedded fleet.
 #[must_use]
 pub fn embedded_target(fleet: &Fleet, policy: Policy) -> Target<'_> {
     Target {
@@ -169,7 +170,8 @@
     }
 }
 
-/// What a manifest says about a fleet that runs elsewhere; `key` gives the key of an account.
+/// Target for a remote fleet, from its manifest; `key` returns the bearer key of an account. The
+/// caller sets the entries' addresses.
 #[must_use]
 pub fn remote_target(manifest: &Manifest, key: impl Fn(&str) -> String) -> Target<'static> {
     let accounts = manifest.accounts.iter().map(|account| LoadAccount {
@@ -192,7 +194,7 @@
         slots_elsewhere: 0,
         policy: "of the fleet".to_owned(),
         hosts: 1,
-        knowledge_age: KNOWLEDGE_AGE,
+        knowledge_age: MAX_STALENESS,
         control_bytes: Box::new(|| 0),
     }
 }
--- a/src/coltsfootnotch/ops/load/hop.rs
+++ b/src/coltsfootnotch/ops/load/hop.rs
@@ -1,7 +1,7 @@
-//! What the hop through the fleet costs: the same requests to an engine directly and through it.
+//! Measures the overhead of the hop through the fleet, compared with direct calls to the engines.
 //!
-//! Both sides run in one process against the same stand-in engines, request by request in turn, so
-//! that whatever else the machine does falls on both.
+//! Both paths run in one process against the same stand-in engines. Single requests alternate
+//! between them, so that other load on the machine affects both equally.
 
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,91 +16,91 @@
 use super::summary::{Percentiles, percentiles};
 use super::target::Target;
 
-/// Pairs of requests before the measured ones: connections are made and limits found.
+/// Pairs of requests before the measurement, to open connections and let windows adapt.
 const WARM_UP_PAIRS: usize = 20;
-/// Tokens of the answers whose times are measured.
-const TOKENS: u32 = 16;
-/// Longest time between tokens that the histograms hold, in microseconds.
+/// Tokens of each answer in the latency measurement.
+const LATENCY_TOKENS: u32 = 16;
+/// Upper bound of the histograms, in microseconds.
 const MAX_MICROS: u64 = 60_000_000;
-/// One part in this many of the streams is open at the first reading of memory.
-const SOME: usize = 2;
+/// Divisor of the number of streams that are open at the first memory reading.
+const FIRST_READING_DIVISOR: usize = 2;
 const CALLER_STACK_BYTES: usize = 256 * 1024;
 
-/// How the hop is measured.
+/// Options of the hop measurement.
 #[derive(Debug, Clone, Copy)]
 pub struct HopOptions {
-    /// Pairs of requests whose times are measured.
+    /// Pairs of requests in the latency measurement.
     pub pairs: usize,
-    /// Length of each of the two throughput phases.
+    /// Length of each throughput phase.
     pub phase: Duration,
-    /// Callers of the throughput phases; fewer than there are slots, so that nothing queues.
+    /// Callers of the throughput phases; fewer than there are slots, so that no request queues.
     pub callers: usize,
     /// How long the streams are open before memory is read; they last twice as long.
     pub open: Duration,
-    /// Streams held open for the reading of memory; at most the number of slots.
+    /// Streams open at the second memory reading; at most the number of slots.
     pub streams: usize,
 }
 
-/// What one side measured.
+/// Metrics of one path to the engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct HopSide {
     /// From sending to the first token.
     pub first_token_ms: Percentiles,
     /// From one token to the next.
     pub between_tokens_ms: Percentiles,
-    /// Short requests answered a second.
+    /// Short requests answered per second.
     pub requests_per_s: f64,
-    /// Processor time of the whole process for one short request.
+    /// CPU time of the whole process per short request.
     pub cpu_ms_per_request: f64,
-    /// Growth of the whole process for one more open stream, its caller included.
+    /// Memory growth of the whole process per open stream, its caller included, in KiB.
     pub kb_per_stream: f64,
     /// Streams that were open when memory was read.
     pub streams: usize,
-    /// Requests that were not answered whole.
+    /// Requests without a complete answer.
     pub failures: u64,
 }
 
-/// Both sides.
+/// Metrics of both paths.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct HopCost {
-    /// The engines called directly.
+    /// Direct calls to the engines.
     pub direct: HopSide,
-    /// The same engines through the fleet.
+    /// Calls to the same engines through the fleet.
     pub fleet: HopSide,
 }
 
-/// What was seen while streams were held open.
-struct Held {
+/// Reading taken while streams were open.
+struct Reading {
     resident: Option<u64>,
     open: usize,
     failures: u64,
 }
 
-/// One side at work.
-struct Side<'a> {
+/// One path to the engines, with its measurements so far.
+struct MeasuredPath<'a> {
     clients: Vec<Client>,
     model: &'a str,
     name: &'static str,
     first_token: Histogram<u64>,
-    between: Histogram<u64>,
-    cost: HopSide,
+    between_tokens: Histogram<u64>,
+    metrics: HopSide,
 }
 
-impl<'a> Side<'a> {
+impl<'a> MeasuredPath<'a> {
     fn new(name: &'static str, clients: Vec<Client>, model: &'a str) -> Self {
-        // The bounds are constants within what the histogram accepts.
+        // The histogram accepts these constant bounds.
         let histogram = || Histogram::new_with_max(MAX_MICROS, 3).expect("valid bounds");
         Self {
             clients,
             model,
             name,
             first_token: histogram(),
-            between: histogram(),
-            cost: HopSide::default(),
+            between_tokens: histogram(),
+            metrics: HopSide::default(),
         }
     }
 
-    fn call(&self, number: usize, max_tokens: u32) -> ChatCall {
+    fn chat_call(&self, number: usize, max_tokens: u32) -> ChatCall {
         ChatCall {
             model: self.model.to_owned(),
             messages: [
@@ -112,11 +112,11 @@
         }
     }
 
-    /// Sends one streamed request and records its times.
-    fn timed(&mut self, number: usize) {
-        let call = self.call(number, TOKENS);
+    /// Sends one streamed request and records its latencies.
+    fn measure_latency(&mut self, number: usize) {
+        let call = self.chat_call(number, LATENCY_TOKENS);
         let client = &self.clients[number % self.clients.len()];
-        let (first_token, between) = (&mut self.first_token, &mut self.between);
+        let (first_token, between_tokens) = (&mut self.first_token, &mut self.between_tokens);
         let sent = Instant::now();
         let mut last: Option<Instant> = None;
         let answer = client.chat(&call, |progress| {
@@ -124,69 +124,68 @@
                 let now = Instant::now();
                 match last.replace(now) {
                     None => first_token.saturating_record(micros(now - sent)),
-                    Some(before) => between.saturating_record(micros(now - before)),
+                    Some(before) => between_tokens.saturating_record(micros(now - before)),
                 }
             }
         });
-        self.cost.failures += u64::from(!matches!(answer, Answer::Whole(_)));
+        self.metrics.failures += u64::from(!matches!(answer, Answer::Complete(_)));
     }
 
-    /// Asks from several callers for `phase` with answers of `tokens`; returns whole and failed ones.
-    fn ask(&self, callers: usize, phase: Duration, tokens: u32) -> io::Result<(u64, u64)> {
+    /// Runs several callers for `phase`; returns the numbers of complete and failed answers.
+    fn run_callers(&self, callers: usize, phase: Duration, tokens: u32) -> io::Result<(u64, u64)> {
         let started = Instant::now();
-        let counts: Vec<(u64, u64)> = scoped(callers, |caller| {
+        let counts: Vec<(u64, u64)> = run_threads(callers, |caller| {
             let client = &self.clients[caller % self.clients.len()];
-            let (mut whole, mut failed) = (0, 0);
+            let (mut complete, mut failed) = (0, 0);
             while started.elapsed() < phase {
-                let number = caller + callers * (whole + failed) as usize;
-                match client.chat(&self.call(number, tokens), |_| {}) {
-                    Answer::Whole(_) => whole += 1,
+                let number = caller + callers * (complete + failed) as usize;
+                match client.chat(&self.chat_call(number, tokens), |_| {}) {
+                    Answer::Complete(_) => complete += 1,
                     _ => failed += 1,
                 }
             }
-            (whole, failed)
+            (complete, failed)
         })?;
-        let add = |(a, b), (whole, failed)| (a + whole, b + failed);
+        let add = |(a, b), (complete, failed)| (a + complete, b + failed);
         Ok(counts.into_iter().fold((0, 0), add))
     }
 
-    /// Short requests from several callers for `phase`.
-    fn throughput(&mut self, opts: &HopOptions) -> io::Result<()> {
+    /// Measures throughput and CPU time of short requests from several callers.
+    fn measure_throughput(&mut self, opts: &HopOptions) -> io::Result<()> {
         let (started, cpu_before) = (Instant::now(), cpu_time());
-        let (whole, failed) = self.ask(opts.callers, opts.phase, 1)?;
+        let (complete, failed) = self.run_callers(opts.callers, opts.phase, 1)?;
         let elapsed = started.elapsed();
-        self.cost.failures += failed;
-        self.cost.requests_per_s = whole as f64 / elapsed.as_secs_f64();
+        self.metrics.failures += failed;
+        self.metrics.requests_per_s = complete as f64 / elapsed.as_secs_f64();
         if let (Some(before), Some(after)) = (cpu_before, cpu_time()) {
             let cpu_ms = 1000.0 * (after - before).as_secs_f64();
-            self.cost.cpu_ms_per_request = cpu_ms / whole.max(1) as f64;
+            self.metrics.cpu_ms_per_request = cpu_ms / complete.max(1) as f64;
         }
         Ok(())
     }
 
-    /// Reads the memory of the process with some streams open and with many; the slope between the
-    /// two leaves out what is allocated once.
+    /// Measures memory per open stream: the slope between two readings with different numbers of
+    /// streams, which leaves out one-time allocations.
     ///
-    /// The callers that go before make the upstreams' windows grow. There are no more of them than
-    /// streams at the first reading: memory that they used is kept by the allocator, and would hide
-    /// what the streams of the second reading need.
-    fn memory(&mut self, opts: &HopOptions, token: Duration) -> io::Result<()> {
-        let some = opts.streams.div_ceil(SOME);
-        let (_, failed) = self.ask(some, opts.phase, TOKENS)?;
-        let few = self.hold(some, opts.open, token)?;
-        let many = self.hold(opts.streams, opts.open, token)?;
-        self.cost.failures += failed + few.failures + many.failures;
-        self.cost.streams = many.open;
+    /// The warm-up callers make the upstreams' windows grow. There are no more of them than streams
+    /// at the first reading, since memory retained by the allocator would hide later growth.
+    fn measure_memory(&mut self, opts: &HopOptions, token: Duration) -> io::Result<()> {
+        let fewer = opts.streams.div_ceil(FIRST_READING_DIVISOR);
+        let (_, failed) = self.run_callers(fewer, opts.phase, LATENCY_TOKENS)?;
+        let few = self.hold_streams(fewer, opts.open, token)?;
+        let many = self.hold_streams(opts.streams, opts.open, token)?;
+        self.metrics.failures += failed + few.failures + many.failures;
+        self.metrics.streams = many.open;
         if let (Some(before), Some(after)) = (few.resident, many.resident) {
             let grown = after as f64 - before as f64;
             let streams = many.open as f64 - few.open as f64;
-            self.cost.kb_per_stream = grown / 1024.0 / streams.max(1.0);
+            self.metrics.kb_per_stream = grown / 1024.0 / streams.max(1.0);
         }
         Ok(())
     }
 
-    /// Holds streams open and reads the memory of the process half-way.
-    fn hold(&self, streams: usize, half: Duration, token: Duration) -> io::Result<Held> {
+    /// Holds streams open for twice `half` and reads the memory of the process after `half`.
+    fn hold_streams(&self, streams: usize, half: Duration, token: Duration) -> io::Result<Reading> {
         let tokens = 2 * half.as_micros() / token.as_micros().max(1);
         let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
         let open = AtomicUsize::new(0);
@@ -195,10 +194,10 @@
                 thread::sleep(half);
                 (resident_bytes(), open.load(Ordering::SeqCst))
             });
-            let whole = scoped(streams, |number| {
+            let complete = run_threads(streams, |number| {
                 let client = &self.clients[number % self.clients.len()];
                 let mut opened = false;
-                let answer = client.chat(&self.call(number, tokens), |progress| {
+                let answer = client.chat(&self.chat_call(number, tokens), |progress| {
                     if matches!(progress, Progress::Tokens(_)) && !opened {
                         opened = true;
                         open.fetch_add(1, Ordering::SeqCst);
@@ -207,28 +206,28 @@
                 if opened {
                     open.fetch_sub(1, Ordering::SeqCst);
                 }
-                matches!(answer, Answer::Whole(_))
+                matches!(answer, Answer::Complete(_))
             })?;
             let (resident, open) = reader.join().unwrap_or((None, 0));
-            Ok(Held {
+            Ok(Reading {
                 resident,
                 open,
-                failures: whole.into_iter().filter(|whole| !whole).count() as u64,
+                failures: complete.into_iter().filter(|complete| !complete).count() as u64,
             })
         })
     }
 
     fn finish(mut self) -> HopSide {
-        self.cost.first_token_ms = percentiles(&self.first_token);
-        self.cost.between_tokens_ms = percentiles(&self.between);
-        self.cost
+        self.metrics.first_token_ms = percentiles(&self.first_token);
+        self.metrics.between_tokens_ms = percentiles(&self.between_tokens);
+        self.metrics
     }
 }
 
-/// Measures both sides.
+/// Measures both paths.
 ///
-/// Memory is read on the fleet's side first: what the allocator keeps from it makes the direct side
-/// look smaller, so the difference errs against the fleet.
+/// Memory is measured through the fleet first: memory retained by the allocator lowers the direct
+/// result, so the difference is biased against the fleet.
 ///
 /// # Errors
 /// Returns the system's error when a caller's thread can't be started.
@@ -242,38 +241,38 @@
     let through = entries.map(|address| Client::new(*address, key.clone()));
     let engines = target.engines.iter();
     let directly = engines.map(|engine| Client::new(engine.address(), None));
-    let mut fleet = Side::new("fleet", through.collect(), &target.model);
-    let mut direct = Side::new("direct", directly.collect(), &target.model);
+    let mut fleet = MeasuredPath::new("fleet", through.collect(), &target.model);
+    let mut direct = MeasuredPath::new("direct", directly.collect(), &target.model);
     progress("warm-up");
     for number in 0..WARM_UP_PAIRS {
-        fleet.timed(number);
-        direct.timed(number);
+        fleet.measure_latency(number);
+        direct.measure_latency(number);
     }
     fleet.first_token.reset();
-    fleet.between.reset();
+    fleet.between_tokens.reset();
     direct.first_token.reset();
-    direct.between.reset();
-    progress("times of one request at a time, in turn");
+    direct.between_tokens.reset();
+    progress("latency of single requests, alternating between both paths");
     for number in WARM_UP_PAIRS..WARM_UP_PAIRS + opts.pairs {
-        fleet.timed(number);
-        direct.timed(number);
+        fleet.measure_latency(number);
+        direct.measure_latency(number);
     }
-    progress("short requests from several callers");
-    fleet.throughput(opts)?;
-    direct.throughput(opts)?;
+    progress("throughput of short requests");
+    fleet.measure_throughput(opts)?;
+    direct.measure_throughput(opts)?;
     progress("memory of open streams");
     let token = target.engines.iter().map(|engine| engine.config().token);
     let token = token.min().unwrap_or(Duration::from_millis(1));
-    fleet.memory(opts, token)?;
-    direct.memory(opts, token)?;
+    fleet.measure_memory(opts, token)?;
+    direct.measure_memory(opts, token)?;
     Ok(HopCost {
         direct: direct.finish(),
         fleet: fleet.finish(),
     })
 }
 
-/// Runs `work` on `count` threads and collects what each gives.
-fn scoped<T: Send>(count: usize, work: impl Fn(usize) -> T + Sync) -> io::Result<Vec<T>> {
+/// Runs `work` on `count` threads and collects the results.
+fn run_threads<T: Send>(count: usize, work: impl Fn(usize) -> T + Sync) -> io::Result<Vec<T>> {
     thread::scope(|scope| {
         let work = &work;
         let threads: io::Result<Vec<_>> = (0..count)
--- a/src/coltsfootnotch/ops/load/mod.rs
+++ b/src/coltsfootnotch/ops/load/mod.rs
@@ -1,14 +1,12 @@
-//! The load tool: callers that play a pattern of load, check every answer and measure.
+//! Load generator: simulated callers that run a scenario, check every answer and measure.
 //!
-//! A run makes a plan of callers for its scenario, lets each ask over HTTP on a thread of its own,
-//! and watches the backlog from the callers' side. At the end it compares what the callers were
-//! told with what the stand-in upstreams really ran and booked: an answer that belongs to another
-//! request, a booking made twice and a request that ran though it was refused all show.
+//! Each planned caller sends HTTP requests on its own thread, and the backlog is measured from the
+//! callers' side. At the end the answers are checked against what the stand-in upstreams ran and
+//! booked, which detects mixed-up answers, doubled or lost bookings, and refused requests that ran.
 
 mod caller;
 mod client;
 mod command;
-mod disturb;
 mod embedded;
 mod hop;
 mod page;
@@ -20,6 +18,7 @@
 mod sampler;
 mod scenario;
 mod series;
+mod slowdown;
 mod summary;
 mod table;
 mod target;
--- a/src/coltsfootnotch/ops/load/page.rs
+++ b/src/coltsfootnotch/ops/load/page.rs
@@ -1,4 +1,4 @@
-//! A run as one self-contained HTML page: the table, and plots of service, queue and utilisation.
+//! Self-contained HTML report of a run: its table and plots of service, queue and utilisation.
 
 use std::error::Error;
 
@@ -10,9 +10,9 @@
 
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (960, 360);
-/// Space for the labels of the axes, in pixels.
+/// Space for the axis labels, in pixels.
 const LABEL_AREA: u32 = 70;
-/// Space left above the highest value of a plot.
+/// Ratio of the top of the y axis to the highest value.
 const HEADROOM: f64 = 1.05;
 
 /// One line of a plot.
@@ -21,7 +21,7 @@
     points: Vec<(f64, f64)>,
 }
 
-/// Writes the page of a run.
+/// Renders the HTML report of a run.
 ///
 /// # Errors
 /// Returns the plotting library's error when a plot can't be drawn.
@@ -36,7 +36,7 @@
         })
         .collect();
     let waiting = Line {
-        name: "requests that wait",
+        name: "waiting requests",
         points: points(&run.samples, |s| s.waiting as f64),
     };
     let utilisation = Line {
@@ -44,7 +44,7 @@
         points: points(&run.samples, |s| 100.0 * s.utilisation),
     };
     let plots = [
-        plot("Service per account, units", &service)?,
+        plot("Service per account (service units)", &service)?,
         plot("Queue", &[waiting])?,
         plot("Utilisation", &[utilisation])?,
     ];
@@ -63,7 +63,7 @@
     samples.iter().map(point).collect()
 }
 
-fn highest(lines: &[Line<'_>], value: impl Fn(&(f64, f64)) -> f64) -> f64 {
+fn max_value(lines: &[Line<'_>], value: impl Fn(&(f64, f64)) -> f64) -> f64 {
     let points = lines.iter().flat_map(|line| &line.points);
     points.map(value).fold(1.0, f64::max)
 }
@@ -72,14 +72,14 @@
     let mut svg = String::new();
     let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let seconds = highest(lines, |(x, _)| *x);
-    let top = highest(lines, |(_, y)| *y) * HEADROOM;
+    let x_max = max_value(lines, |(x, _)| *x);
+    let y_max = max_value(lines, |(_, y)| *y) * HEADROOM;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(LABEL_AREA / 2)
         .y_label_area_size(LABEL_AREA)
-        .build_cartesian_2d(0.0..seconds, 0.0..top)?;
+        .build_cartesian_2d(0.0..x_max, 0.0..y_max)?;
     chart.configure_mesh().x_desc("seconds").draw()?;
     for (index, line) in lines.iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
--- a/src/coltsfootnotch/ops/load/plan.rs
+++ b/src/coltsfootnotch/ops/load/plan.rs
@@ -1,4 +1,5 @@
-//! What each caller of a scenario does: whose it is, where it calls, what it asks and when.
+//! Plans the callers of a scenario: the account, entry, kind of request and arrival pattern of
+//! each.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -6,91 +7,92 @@
 use super::scenario::Scenario;
 use super::target::LoadAccount;
 
-/// Most callers of a run; each is a thread that holds a connection.
+/// Maximum number of callers of a run; each has a thread and a connection.
 pub const MAX_CALLERS: usize = 320;
 
-/// Tokens of prompt and answer that keep a small engine busy for a few hundred milliseconds.
-const USUAL_TOKENS: RangeInclusive<u32> = 16..=96;
-const SHORT_TOKENS: RangeInclusive<u32> = 4..=12;
-const LONG_TOKENS: RangeInclusive<u32> = 384..=512;
-const USUAL_PROMPT: RangeInclusive<u32> = 80..=200;
+/// Tokens of prompts and answers; a typical request takes a stand-in engine a few hundred
+/// milliseconds.
+const TYPICAL_ANSWER: RangeInclusive<u32> = 16..=96;
+const SHORT_ANSWER: RangeInclusive<u32> = 4..=12;
+const LONG_ANSWER: RangeInclusive<u32> = 384..=512;
+const TYPICAL_PROMPT: RangeInclusive<u32> = 80..=200;
 
-/// Time between bursts and how long one lasts.
-const BURST_EVERY: Duration = Duration::from_secs(3);
+/// Interval between the starts of bursts, and the length of a burst.
+const BURST_INTERVAL: Duration = Duration::from_secs(3);
 const BURST_LENGTH: Duration = Duration::from_millis(600);
-/// Pause of callers that don't hurry, as a person reading an answer.
-const READING: Duration = Duration::from_millis(300);
-/// Pause of a caller between two requests that crashed.
+/// Pause of interactive callers between two requests.
+const INTERACTIVE_PAUSE: Duration = Duration::from_millis(300);
+/// Pause between two requests that crash their engine.
 const CRASH_PAUSE: Duration = Duration::from_millis(500);
 
-/// What a caller asks.
+/// Kind of request that a caller sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ask {
     /// Chat completions.
     Chat,
-    /// The same chat completion each time; it crashes the engine that runs it.
+    /// The same chat completion each time, which crashes the engine that runs it.
     CrashingChat,
-    /// Orders, each with a key of its own.
+    /// Orders, each with its own idempotency key.
     Booking,
 }
 
-/// When a caller asks.
+/// When a caller sends requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pattern {
-    /// After each answer and a pause.
+    /// Closed loop: after each answer and a pause.
     Closed {
-        /// The pause.
+        /// Time between an answer and the next request.
         pause: Duration,
     },
-    /// As closed without a pause, but only during bursts.
+    /// Closed loop without a pause, only during bursts.
     Bursts {
-        /// Time from the start of one burst to that of the next.
+        /// Time between the starts of two bursts.
         every: Duration,
         /// Length of a burst.
         length: Duration,
     },
 }
 
-/// One caller.
+/// Plan of one caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerPlan {
-    /// Index of its account.
+    /// Index of its account in [`Target::accounts`](super::Target::accounts).
     pub account: usize,
     /// Index of the entry that it calls.
     pub entry: usize,
-    /// What it asks.
+    /// Kind of request.
     pub ask: Ask,
-    /// When it asks.
+    /// Arrival pattern.
     pub pattern: Pattern,
-    /// Tokens of its prompts.
+    /// Range of the tokens of its prompts.
     pub prompt_tokens: RangeInclusive<u32>,
-    /// Tokens of its answers.
+    /// Range of the tokens of its answers.
     pub answer_tokens: RangeInclusive<u32>,
 }
 
-/// The shape of the fleet that a plan is made for.
+/// Dimensions of the fleet that callers are planned for.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
-    /// Entries that callers are spread over.
+    /// Number of entries that callers are spread over.
     pub entries: usize,
     /// Slots of all engines.
     pub slots: usize,
 }
 
-/// The callers of `scenario` against a fleet of `shape`; at most [`MAX_CALLERS`].
+/// Plans the callers of `scenario`, at most [`MAX_CALLERS`].
 #[must_use]
 pub fn callers(scenario: Scenario, accounts: &[LoadAccount], shape: Shape) -> Vec<CallerPlan> {
     let mut callers = Vec::new();
     for account in 0..accounts.len() {
-        let count = count_of(scenario, accounts, account, shape.slots);
+        let count = caller_count(scenario, accounts, account, shape.slots);
         for _ in 0..count {
-            let mut caller = usual(account, callers.len() % shape.entries.max(1));
-            adjust(scenario, accounts, &mut caller);
+            let mut caller = default_caller(account, callers.len() % shape.entries.max(1));
+            apply_scenario(scenario, accounts, &mut caller);
             callers.push(caller);
         }
     }
     if scenario == Scenario::CrashingRequest {
-        let mut caller = usual(0, 0);
+        let mut caller = default_caller(0, 0);
         caller.ask = Ask::CrashingChat;
         caller.pattern = Pattern::Closed { pause: CRASH_PAUSE };
         callers.insert(0, caller);
@@ -99,7 +101,7 @@
     callers
 }
 
-fn usual(account: usize, entry: usize) -> CallerPlan {
+fn default_caller(account: usize, entry: usize) -> CallerPlan {
     CallerPlan {
         account,
         entry,
@@ -107,49 +109,60 @@
         pattern: Pattern::Closed {
             pause: Duration::ZERO,
         },
-        prompt_tokens: USUAL_PROMPT,
-        answer_tokens: USUAL_TOKENS,
+        prompt_tokens: TYPICAL_PROMPT,
+        answer_tokens: TYPICAL_ANSWER,
     }
 }
 
-/// Callers of one account; the sums are stated against the slots of the fleet.
-fn count_of(scenario: Scenario, accounts: &[LoadAccount], account: usize, slots: usize) -> usize {
-    let each = slots.div_ceil(accounts.len().max(1));
-    let large = accounts[account].large;
+/// Number of callers of one account, relative to the slots of the fleet.
+fn caller_count(
+    scenario: Scenario,
+    accounts: &[LoadAccount],
+    account: usize,
+    slots: usize,
+) -> usize {
+    let slots_per_account = slots.div_ceil(accounts.len().max(1));
+    let is_large = accounts[account].large;
     match scenario {
-        // Four times the slots while a burst lasts.
-        Scenario::Burst => 4 * each,
-        // The flooding account alone asks for three times the slots.
+        // Four times the slots during a burst.
+        Scenario::Burst => 4 * slots_per_account,
+        // The flooding account alone has three times as many callers as there are slots.
         Scenario::Flood if account == 0 => 3 * slots,
-        Scenario::Flood => each.max(2),
-        // Halves from account to account: the first has as many callers as all others together.
+        Scenario::Flood => slots_per_account.max(2),
+        // Each account has half the callers of the previous one.
         Scenario::Skew => (slots >> account.min(16)).max(2),
         Scenario::LongAmongShort if account == 0 => 2 * slots,
-        Scenario::LongAmongShort => 2 * each,
-        // About three times the slots, the large accounts with more callers than the small.
-        Scenario::Saturation | Scenario::SlowUpstream if large => 6 * each,
-        Scenario::Saturation | Scenario::SlowUpstream => 2 * each,
-        Scenario::CrashingRequest => each,
-        Scenario::Bookings => each.max(2),
+        Scenario::LongAmongShort => 2 * slots_per_account,
+        // About three times the slots in total.
+        Scenario::Saturation | Scenario::SlowUpstream if is_large => 6 * slots_per_account,
+        Scenario::Saturation | Scenario::SlowUpstream => 2 * slots_per_account,
+        Scenario::CrashingRequest => slots_per_account,
+        Scenario::Bookings => slots_per_account.max(2),
     }
 }
 
-fn adjust(scenario: Scenario, accounts: &[LoadAccount], caller: &mut CallerPlan) {
+fn apply_scenario(scenario: Scenario, accounts: &[LoadAccount], caller: &mut CallerPlan) {
     match scenario {
         Scenario::Burst if caller.account.is_multiple_of(2) => {
             caller.pattern = Pattern::Bursts {
-                every: BURST_EVERY,
+                every: BURST_INTERVAL,
                 length: BURST_LENGTH,
             };
         }
-        Scenario::Burst => caller.pattern = Pattern::Closed { pause: READING * 4 },
+        Scenario::Burst => {
+            caller.pattern = Pattern::Closed {
+                pause: INTERACTIVE_PAUSE * 4,
+            }
+        }
         Scenario::Flood if caller.account > 0 => {
-            caller.pattern = Pattern::Closed { pause: READING };
+            caller.pattern = Pattern::Closed {
+                pause: INTERACTIVE_PAUSE,
+            };
         }
-        // The heaviest account calls one entry alone.
+        // The account with the most callers uses a single entry.
         Scenario::Skew if caller.account == 0 => caller.entry = 0,
-        Scenario::LongAmongShort if caller.account == 0 => caller.answer_tokens = LONG_TOKENS,
-        Scenario::LongAmongShort => caller.answer_tokens = SHORT_TOKENS,
+        Scenario::LongAmongShort if caller.account == 0 => caller.answer_tokens = LONG_ANSWER,
+        Scenario::LongAmongShort => caller.answer_tokens = SHORT_ANSWER,
         Scenario::Bookings if !accounts[caller.account].large || caller.account == 0 => {
             caller.ask = Ask::Booking;
         }
--- a/src/coltsfootnotch/ops/load/policy.rs
+++ b/src/coltsfootnotch/ops/load/policy.rs
@@ -1,28 +1,28 @@
-//! The policies that a run can compare, by the names that the command line takes.
+//! Scheduling policies, by the names that the command line takes.
 
 use std::str::FromStr;
 
 use coltsfootnotch_decide::fair::ChoicePolicy;
 use derive_more::{Display, Error};
 
-/// How an embedded fleet chooses whose work is served.
+/// Policy by which an embedded fleet selects the next account.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Display)]
 pub enum Policy {
-    /// The account furthest behind over the whole fleet.
+    /// The account with the least service per weight across the fleet.
     #[default]
     #[display("fair")]
     Fair,
     /// First come, first served.
     #[display("fifo")]
     Fifo,
-    /// The account furthest behind on each host alone.
+    /// The account with the least service per weight on each host.
     #[display("per-host")]
     PerHost,
 }
 
-/// The name of no policy.
+/// An unknown policy name.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("no policy is called {name:?}; there are fair, fifo and per-host")]
+#[display("unknown policy {name:?}; expected fair, fifo or per-host")]
 pub struct UnknownPolicy {
     name: String,
 }
@@ -32,8 +32,8 @@
 
     fn from_str(name: &str) -> Result<Self, UnknownPolicy> {
         let all = [Self::Fair, Self::Fifo, Self::PerHost];
-        let named = |policy: &Self| policy.to_string() == name;
-        all.into_iter().find(named).ok_or_else(|| UnknownPolicy {
+        let has_name = |policy: &Self| policy.to_string() == name;
+        all.into_iter().find(has_name).ok_or_else(|| UnknownPolicy {
             name: name.to_owned(),
         })
     }
--- a/src/coltsfootnotch/ops/load/run.rs
+++ b/src/coltsfootnotch/ops/load/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario from its plan to its figures.
+//! Runs one scenario, from the plan of its callers to the summary.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -9,39 +9,39 @@
 use super::caller::Caller;
 use super::plan::{self, CallerPlan, Shape};
 use super::recorder::Recorder;
-use super::sampler::{LOOK_EVERY, Sampler};
+use super::sampler::{POLL_INTERVAL, Sampler};
 use super::scenario::Scenario;
 use super::series::Sample;
-use super::summary::{Summary, times};
+use super::summary::{Summary, latencies};
 use super::target::Target;
 use super::verify::verify;
 
-/// Stack of a caller's thread; it holds one answer line at a time.
+/// Stack size of a caller's thread.
 const CALLER_STACK_BYTES: usize = 256 * 1024;
 
-/// How a run is made.
+/// Options of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadOptions {
-    /// The pattern of load.
+    /// The scenario to run.
     pub scenario: Scenario,
-    /// How long callers ask; what is in progress then is still read to its end.
+    /// How long callers send requests; answers in progress are then still read to their end.
     pub length: Duration,
-    /// Seed of the callers' choices.
+    /// Seed of the callers' random numbers.
     pub seed: u64,
 }
 
-/// What a run gives: its figures, and how it went over time.
+/// Result of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadRun {
-    /// The figures.
+    /// Summary metrics.
     pub summary: Summary,
-    /// Names of the accounts, in the order of the samples' service.
+    /// Account names, in the order of [`Sample::service`].
     pub accounts: Vec<String>,
-    /// Samples over time.
+    /// Time series.
     pub samples: Vec<Sample>,
 }
 
-/// Plays a scenario against `target`; `progress` gets a line about once a second.
+/// Runs a scenario against `target`; `progress` receives a line about once a second.
 ///
 /// # Errors
 /// Returns the system's error when a caller's thread can't be started.
@@ -50,16 +50,16 @@
     opts: &LoadOptions,
     mut progress: impl FnMut(&str),
 ) -> std::io::Result<LoadRun> {
-    let shape = Shape {
+    let fleet_shape = Shape {
         entries: target.entries.len(),
         slots: target.slots() as usize,
     };
-    let plans = plan::callers(opts.scenario, &target.accounts, shape);
+    let plans = plan::callers(opts.scenario, &target.accounts, fleet_shape);
     let recorder = Recorder::new(&target.accounts, target.token_weights);
-    let control_before = (target.control_bytes)();
+    let control_bytes_before = (target.control_bytes)();
     let mut sampler = Sampler::new(target, &recorder, opts.scenario, opts.length);
-    let until = sampler.started() + opts.length;
-    let mut control = 0.0;
+    let ends_at = sampler.started() + opts.length;
+    let mut control_bytes_rate = 0.0;
     thread::scope(|scope| -> std::io::Result<()> {
         for (index, plan) in plans.iter().enumerate() {
             let mut caller = Caller::new(
@@ -67,19 +67,19 @@
                 &recorder,
                 plan,
                 (index, opts.seed),
-                (sampler.started(), until),
+                (sampler.started(), ends_at),
             );
             thread::Builder::new()
                 .name(format!("caller-{index}"))
                 .stack_size(CALLER_STACK_BYTES)
                 .spawn_scoped(scope, move || caller.run())?;
         }
-        while Instant::now() < until {
-            sampler.look(&mut progress);
-            thread::sleep(LOOK_EVERY);
+        while Instant::now() < ends_at {
+            sampler.poll(&mut progress);
+            thread::sleep(POLL_INTERVAL);
         }
-        let sent = (target.control_bytes)().saturating_sub(control_before);
-        control = sent as f64 / target.hosts.max(1) as f64 / opts.length.as_secs_f64();
+        let sent = (target.control_bytes)().saturating_sub(control_bytes_before);
+        control_bytes_rate = sent as f64 / target.hosts.max(1) as f64 / opts.length.as_secs_f64();
         Ok(())
     })?;
     let Sampler {
@@ -89,16 +89,16 @@
         most_waiting,
         ..
     } = sampler;
-    let mut summary = figures(target, opts, &recorder, &plans);
-    summary.control_bytes_per_host_per_s = control;
+    let mut summary = summarize(target, opts, &recorder, &plans);
+    summary.control_bytes_per_host_per_s = control_bytes_rate;
     summary.utilisation = usage.share();
     summary.utilisation_while_waiting = usage_while_waiting.share();
     summary.most_waiting = most_waiting;
-    let (keys, not_run) = recorder.into_claims();
-    let verdict = verify(target, &keys, &not_run);
-    summary.doubled_bookings = verdict.doubled_bookings;
-    summary.lost_bookings = verdict.lost_bookings;
-    summary.refused_but_run = verdict.refused_but_run;
+    let (keys, not_run) = recorder.into_outcomes();
+    let violations = verify(target, &keys, &not_run);
+    summary.doubled_bookings = violations.doubled_bookings;
+    summary.lost_bookings = violations.lost_bookings;
+    summary.refused_but_run = violations.refused_but_run;
     let accounts = target
         .accounts
         .iter()
@@ -110,18 +110,18 @@
     })
 }
 
-/// The figures that the recorder and the stand-ins hold; the rest is filled in by the run.
-fn figures(
+/// Summary of the recorder and the stand-ins; [`run`] fills in the remaining fields.
+fn summarize(
     target: &Target<'_>,
     opts: &LoadOptions,
     recorder: &Recorder<'_>,
     plans: &[CallerPlan],
 ) -> Summary {
     let counts = recorder.counts();
-    let (wait_ms, first_token_ms) = recorder.with_times(times);
-    let gap = recorder.gap();
+    let (wait_ms, first_token_ms) = recorder.with_latencies(latencies);
+    let gap = recorder.largest_gap();
     let engines = target.engines.iter().map(|engine| engine.stats());
-    let inside = engines.clone().map(|stats| stats.most_waiting).max();
+    let most_inside = engines.clone().map(|stats| stats.most_waiting).max();
     Summary {
         scenario: opts.scenario.to_string(),
         policy: target.policy.clone(),
@@ -132,14 +132,14 @@
         slots: target.slots(),
         fairness_gap_tokens: gap.as_ref().map_or(0, |(size, _)| *size),
         fairness_gap_between: gap.map(|(_, between)| between),
-        fairness_bound_tokens: bound(target, plans),
+        fairness_bound_tokens: fairness_bound(target, plans),
         utilisation: 0.0,
         utilisation_while_waiting: 0.0,
         control_bytes_per_host_per_s: 0.0,
         wait_ms,
         first_token_ms,
         requests: counts.requests,
-        whole_answers: counts.whole,
+        whole_answers: counts.complete,
         refused_not_run: counts.refused_not_run,
         refused_but_run: 0,
         run_unknown: counts.run_unknown,
@@ -153,7 +153,7 @@
         lost_bookings: 0,
         crashes: engines.map(|stats| stats.crashes).sum(),
         most_waiting: 0,
-        most_waiting_inside: inside.unwrap_or(0),
+        most_waiting_inside: most_inside.unwrap_or(0),
         mean_wait_inside_ms: mean_wait_inside(target),
     }
 }
@@ -165,8 +165,8 @@
     1000.0 * waited.as_secs_f64() / started.max(1) as f64
 }
 
-/// The bound for the largest request planned, at the smallest weight played.
-fn bound(target: &Target<'_>, plans: &[CallerPlan]) -> u64 {
+/// Fairness bound in service units for the largest planned request and the smallest weight.
+fn fairness_bound(target: &Target<'_>, plans: &[CallerPlan]) -> u64 {
     let weights = target.token_weights;
     let cost = |plan: &CallerPlan| {
         let prompt = u64::from(*plan.prompt_tokens.end());
--- a/src/coltsfootnotch/ops/load/sampler.rs
+++ b/src/coltsfootnotch/ops/load/sampler.rs
@@ -1,23 +1,24 @@
-//! Watches a run: tells the fairness meter who is backlogged, and keeps the samples for the page.
+//! Polls a run: updates the fairness meter's backlogged accounts and collects the samples for the
+//! report.
 
 use std::time::{Duration, Instant};
 
-use super::disturb::Disturbance;
 use super::recorder::Recorder;
 use super::scenario::Scenario;
 use super::series::{Sample, Usage, share};
+use super::slowdown::EngineSlowdown;
 use super::target::Target;
 
-/// Time between looks at the backlog; well below the time that a request waits under load.
-pub(super) const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// Time between kept samples.
-const SAMPLE_EVERY: Duration = Duration::from_millis(200);
-/// Time between progress lines.
-const PROGRESS_EVERY: Duration = Duration::from_secs(1);
-/// Start of the run that utilisation leaves out: sidecars still find out how much engines hold.
+/// Interval between polls of the backlog; well below the time that a request waits under load.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between samples of the time series.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between progress lines.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
+/// Initial time that utilisation leaves out, while sidecars adapt their windows to the engines.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// The watch over one run.
+/// Sampler of one run.
 pub(super) struct Sampler<'a> {
     target: &'a Target<'a>,
     recorder: &'a Recorder<'a>,
@@ -25,10 +26,10 @@
     started: Instant,
     length: Duration,
     slots: u32,
-    disturbance: Disturbance,
-    looked: (Instant, Duration),
-    sampled: (Instant, Duration),
-    progressed: Instant,
+    slowdown: EngineSlowdown,
+    last_poll: (Instant, Duration),
+    last_sample: (Instant, Duration),
+    last_progress: Instant,
     pub(super) samples: Vec<Sample>,
     /// Utilisation after the warm-up.
     pub(super) usage: Usage,
@@ -53,10 +54,10 @@
             started: now,
             length,
             slots: target.slots(),
-            disturbance: Disturbance::default(),
-            looked: (now, busy),
-            sampled: (now, busy),
-            progressed: now,
+            slowdown: EngineSlowdown::default(),
+            last_poll: (now, busy),
+            last_sample: (now, busy),
+            last_progress: now,
             samples: Vec::new(),
             usage: Usage::default(),
             usage_while_waiting: Usage::default(),
@@ -68,58 +69,58 @@
         self.started
     }
 
-    /// Looks once; `progress` gets a line about once a second.
-    pub(super) fn look(&mut self, progress: &mut impl FnMut(&str)) {
+    /// Polls once; `progress` receives a line about once a second.
+    pub(super) fn poll(&mut self, progress: &mut impl FnMut(&str)) {
         let now = Instant::now();
         let elapsed = now - self.started;
-        self.disturbance
-            .step(self.scenario, self.target.engines, elapsed, self.length);
+        self.slowdown
+            .update(self.scenario, self.target.engines, elapsed, self.length);
         let waiting: usize = self.recorder.sample_backlog().iter().sum();
         self.most_waiting = self.most_waiting.max(waiting);
         let busy = self.target.busy();
-        self.count_usage(now, busy, waiting);
-        if now - self.sampled.0 >= SAMPLE_EVERY {
-            self.sample(now, busy, waiting);
+        self.record_usage(now, busy, waiting);
+        if now - self.last_sample.0 >= SAMPLE_INTERVAL {
+            self.take_sample(now, busy, waiting);
         }
-        if now - self.progressed >= PROGRESS_EVERY {
-            self.progressed = now;
+        if now - self.last_progress >= PROGRESS_INTERVAL {
+            self.last_progress = now;
             progress(&self.progress_line(elapsed, waiting));
         }
     }
 
-    fn count_usage(&mut self, now: Instant, busy: Duration, waiting: usize) {
-        let (then, busy_then) = std::mem::replace(&mut self.looked, (now, busy));
-        if then - self.started < WARM_UP {
+    fn record_usage(&mut self, now: Instant, busy: Duration, waiting: usize) {
+        let (previous, previous_busy) = std::mem::replace(&mut self.last_poll, (now, busy));
+        if previous - self.started < WARM_UP {
             return;
         }
-        let used = busy.saturating_sub(busy_then);
-        let offered = (now - then) * self.slots;
-        self.usage.add(used, offered);
+        let used = busy.saturating_sub(previous_busy);
+        let available = (now - previous) * self.slots;
+        self.usage.add(used, available);
         if waiting > 0 {
-            self.usage_while_waiting.add(used, offered);
+            self.usage_while_waiting.add(used, available);
         }
     }
 
-    fn sample(&mut self, now: Instant, busy: Duration, waiting: usize) {
-        let (then, busy_then) = std::mem::replace(&mut self.sampled, (now, busy));
-        let offered = (now - then) * self.slots;
+    fn take_sample(&mut self, now: Instant, busy: Duration, waiting: usize) {
+        let (previous, previous_busy) = std::mem::replace(&mut self.last_sample, (now, busy));
+        let available = (now - previous) * self.slots;
         self.samples.push(Sample {
             at: now - self.started,
             service: self.recorder.service(),
             waiting,
-            utilisation: share(busy.saturating_sub(busy_then), offered),
+            utilisation: share(busy.saturating_sub(previous_busy), available),
         });
     }
 
     fn progress_line(&self, elapsed: Duration, waiting: usize) -> String {
         let counts = self.recorder.counts();
-        let gap = self.recorder.gap().map_or(0, |(gap, _)| gap);
+        let gap = self.recorder.largest_gap().map_or(0, |(gap, _)| gap);
         let utilisation = self.samples.last().map_or(0.0, |s| s.utilisation);
         format!(
             "{:>4.0}s  requests {:>7}  whole {:>7}  waiting {:>5}  utilisation {:>5.1}%  gap {}",
             elapsed.as_secs_f64(),
             counts.requests,
-            counts.whole,
+            counts.complete,
             waiting,
             100.0 * utilisation,
             gap,
--- a/src/coltsfootnotch/ops/load/scenario.rs
+++ b/src/coltsfootnotch/ops/load/scenario.rs
@@ -1,43 +1,43 @@
-//! The patterns of load that a run can play.
+//! Load scenarios, by the names that the command line takes.
 
 use std::str::FromStr;
 
 use derive_more::{Display, Error};
 use serde::Serialize;
 
-/// One pattern of load.
+/// A load scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// Every few seconds many callers of half the accounts ask at once.
+    /// Every few seconds many callers of half the accounts send requests at once.
     #[display("burst")]
     Burst,
-    /// One account asks for several times the capacity.
+    /// One account sends requests for several times the capacity.
     #[display("flood")]
     Flood,
     /// A few accounts and one entry carry most of the load.
     #[display("skew")]
     Skew,
-    /// One engine works eight times slower for half the run.
+    /// One engine is eight times slower for half of the run.
     #[display("slow-upstream")]
     SlowUpstream,
-    /// One account asks for long answers, the others for short ones.
+    /// One account requests long answers, the others short ones.
     #[display("long-among-short")]
     LongAmongShort,
-    /// Every account asks for more than its share, all the time.
+    /// Every account continuously sends more than its share.
     #[display("saturation")]
     Saturation,
-    /// One caller sends a request that crashes every engine that runs it, again and again.
+    /// One caller repeats a request that crashes every engine that runs it.
     #[display("crashing-request")]
     CrashingRequest,
-    /// Orders that must not repeat, with lost answers and callers that ask again.
+    /// Orders that must be booked once, with lost answers and callers that retry.
     #[display("bookings")]
     Bookings,
 }
 
-/// The name of no scenario.
+/// An unknown scenario name.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("no scenario is called {name:?}; there are {}", Scenario::names())]
+#[display("unknown scenario {name:?}; expected one of {}", Scenario::names())]
 pub struct UnknownScenario {
     name: String,
 }
@@ -64,17 +64,17 @@
 impl FromStr for Scenario {
     type Err = UnknownScenario;
 
-    /// Finds a scenario by its name.
+    /// Parses a scenario name.
     ///
     /// ```
     /// use coltsfootnotch::ops::load::Scenario;
     /// assert_eq!("flood".parse(), Ok(Scenario::Flood));
     /// ```
     fn from_str(name: &str) -> Result<Self, UnknownScenario> {
-        let named = |scenario: &Self| scenario.to_string() == name;
+        let has_name = |scenario: &Self| scenario.to_string() == name;
         Self::ALL
             .into_iter()
-            .find(named)
+            .find(has_name)
             .ok_or_else(|| UnknownScenario {
                 name: name.to_owned(),
             })
--- a/src/coltsfootnotch/ops/load/series.rs
+++ b/src/coltsfootnotch/ops/load/series.rs
@@ -1,44 +1,44 @@
-//! How a run went over time: service, queue and utilisation, sampled while it runs.
+//! Time series of a run: service, queue and utilisation.
 
 use std::time::Duration;
 
-/// One sample.
+/// One sample of the time series.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sample {
-    /// Time since the run began.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// Service of each account so far, in units, in the order of the target's accounts.
+    /// Cumulative service of each account in service units, in the order of the target's accounts.
     pub service: Vec<u64>,
-    /// Requests that wait, over all accounts.
+    /// Waiting requests of all accounts.
     pub waiting: usize,
-    /// Share of the engines' slots in use since the sample before, from 0 to 1.
+    /// Share of the engines' slots in use since the previous sample, from 0 to 1.
     pub utilisation: f64,
 }
 
-/// Slot time used against slot time offered, over chosen stretches of a run.
+/// Slot time used and slot time available over the counted intervals of a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Usage {
     busy: Duration,
-    offered: Duration,
+    available: Duration,
 }
 
 impl Usage {
-    /// Counts a stretch.
-    pub(super) fn add(&mut self, busy: Duration, offered: Duration) {
+    /// Adds an interval.
+    pub(super) fn add(&mut self, busy: Duration, available: Duration) {
         self.busy += busy;
-        self.offered += offered;
+        self.available += available;
     }
 
-    /// The share in use, or zero when nothing was offered.
+    /// Share of the available slot time that was in use, or zero when none was available.
     pub(super) fn share(&self) -> f64 {
-        share(self.busy, self.offered)
+        share(self.busy, self.available)
     }
 }
 
-/// `busy` as a share of `offered`, or zero when nothing was offered.
-pub(super) fn share(busy: Duration, offered: Duration) -> f64 {
-    if offered.is_zero() {
+/// `busy` as a share of `available`, or zero when `available` is zero.
+pub(super) fn share(busy: Duration, available: Duration) -> f64 {
+    if available.is_zero() {
         return 0.0;
     }
-    busy.as_secs_f64() / offered.as_secs_f64()
+    busy.as_secs_f64() / available.as_secs_f64()
 }
--- a/src/coltsfootnotch/ops/load/summary.rs
+++ b/src/coltsfootnotch/ops/load/summary.rs
@@ -1,24 +1,24 @@
-//! The figures of a run, as one JSON object.
+//! Summary metrics of a run, serialized as one JSON object.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::recorder::Times;
+use super::recorder::Latencies;
 
-/// Percentiles of a time, in milliseconds.
+/// Percentiles of a latency, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// Half of the requests took at most this long.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 requests took at most this long.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 requests took at most this long.
+    /// 99th percentile.
     pub p99: f64,
-    /// Requests measured.
+    /// Number of measurements.
     pub count: u64,
 }
 
-/// A time of the small accounts beside that of the large ones.
+/// A latency of the small and of the large accounts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct SmallAndLarge {
     /// Small accounts.
@@ -27,78 +27,79 @@
     pub large: Percentiles,
 }
 
-/// Everything that a run measured.
+/// Summary metrics of a run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Summary {
-    /// The pattern of load.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The policy that the fleet chose by.
+    /// Scheduling policy of the fleet.
     pub policy: String,
-    /// Seed of the callers.
+    /// Seed of the callers' random numbers.
     pub seed: u64,
-    /// Length of the run, without what it took to drain.
+    /// Length of the run in seconds, without draining the last answers.
     pub seconds: f64,
-    /// Hosts of the fleet.
+    /// Number of hosts of the fleet.
     pub hosts: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Slots of the engines.
+    /// Slots of all engines.
     pub slots: u32,
     /// Largest change of the difference in service per weight between two accounts over a window
     /// in which both were backlogged, in service units (tokens times their weights) at weight 1.
     pub fairness_gap_tokens: u64,
     /// The accounts with that gap.
     pub fairness_gap_between: Option<[String; 2]>,
-    /// What the gap may come to, for two accounts of the smallest weight played.
+    /// Upper bound of the gap for two accounts of the smallest weight, in the same units.
     pub fairness_bound_tokens: u64,
-    /// Share of the engines' slot time in use after the first second.
+    /// Share of the engines' slot time in use after the first second, from 0 to 1.
     pub utilisation: f64,
-    /// The same over the time in which at least one request waited.
+    /// As `utilisation`, only while at least one request waited.
     pub utilisation_while_waiting: f64,
-    /// Bytes that a host sent other hosts each second, answers excluded.
+    /// Mean bytes per second that a host sent to other hosts, answers excluded.
     pub control_bytes_per_host_per_s: f64,
-    /// From sending to the head of the answer.
+    /// From sending to the response head.
     pub wait_ms: SmallAndLarge,
     /// From sending to the first token.
     pub first_token_ms: SmallAndLarge,
     /// Requests sent.
     pub requests: u64,
-    /// Requests answered whole and right.
+    /// Requests with a complete and correct answer.
     pub whole_answers: u64,
     /// Requests refused with `"run":"no"`.
     pub refused_not_run: u64,
-    /// Requests of these that ran all the same.
+    /// Requests and bookings that ran despite this answer.
     pub refused_but_run: u64,
     /// Requests that failed with `"run":"unknown"`.
     pub run_unknown: u64,
     /// Requests that failed with `"run":"yes"`.
     pub failed_after_run: u64,
-    /// Errors of the upstream itself, passed on.
+    /// Errors of an upstream that the fleet passed on.
     pub upstream_errors: u64,
-    /// Errors of the fleet that did not say whether the request was run.
+    /// Errors of the fleet that did not state whether the request was run.
     pub untyped_errors: u64,
-    /// Requests without any answer.
+    /// Requests without an answer.
     pub no_answer: u64,
-    /// Whole answers that were not the one to the request.
+    /// Complete answers that did not match the request.
     pub wrong_answers: u64,
     /// Answers that ended early without an error.
     pub incomplete_answers: u64,
     /// Keys booked more than once.
     pub doubled_bookings: u64,
-    /// Keys whose caller was told that they were booked, and that were not.
+    /// Keys that were acknowledged but not booked.
     pub lost_bookings: u64,
     /// Crashes of the stand-in engines.
     pub crashes: u64,
-    /// Most requests that waited at once.
+    /// Maximum number of requests waiting at the same time.
     pub most_waiting: usize,
-    /// Most requests that ever waited inside one engine, where nothing can order them.
+    /// Maximum number of requests waiting inside one engine, where the fleet can't reorder them.
     pub most_waiting_inside: u32,
-    /// Mean time that requests waited inside their engine for a slot, in milliseconds.
+    /// Mean time that requests waited for a slot inside their engine, in milliseconds.
     pub mean_wait_inside_ms: f64,
 }
 
 impl Summary {
-    /// Whether every answer was whole and right and no claim of the fleet was false.
+    /// Whether the run had no wrong, incomplete or untyped answer, no doubled or lost booking, and
+    /// no refused request that ran.
     #[must_use]
     pub fn all_right(&self) -> bool {
         let faults = [
@@ -113,7 +114,7 @@
     }
 }
 
-/// The percentiles of a histogram of microseconds.
+/// Percentiles in milliseconds of a histogram in microseconds.
 pub(super) fn percentiles(micros: &Histogram<u64>) -> Percentiles {
     let at = |quantile| micros.value_at_quantile(quantile) as f64 / 1000.0;
     Percentiles {
@@ -124,8 +125,8 @@
     }
 }
 
-/// Waits and times to the first token of the small and the large accounts.
-pub(super) fn times(small: &Times, large: &Times) -> (SmallAndLarge, SmallAndLarge) {
+/// Wait and time to first token of the small and the large accounts.
+pub(super) fn latencies(small: &Latencies, large: &Latencies) -> (SmallAndLarge, SmallAndLarge) {
     let wait = SmallAndLarge {
         small: percentiles(&small.wait),
         large: percentiles(&large.wait),
--- a/src/coltsfootnotch/ops/load/table.rs
+++ b/src/coltsfootnotch/ops/load/table.rs
@@ -1,24 +1,24 @@
-//! The figures of a run as a table for people.
+//! Text tables of the metrics of a run and of the hop.
 
 use std::fmt::Write;
 
 use super::hop::{HopCost, HopSide};
 use super::summary::{Percentiles, SmallAndLarge, Summary};
 
-/// The table of a run.
+/// Formats the metrics of a run as a table.
 #[must_use]
 pub fn table(summary: &Summary) -> String {
     let mut out = String::new();
     let mut line = |name: &str, value: String| {
-        // Writing to a string can't fail.
+        // Writing to a string is infallible.
         let _ = writeln!(out, "{name:<34}{value}");
     };
     line("scenario", summary.scenario.clone());
     line("policy", summary.policy.clone());
     line("seed", summary.seed.to_string());
     line("seconds", format!("{:.1}", summary.seconds));
-    line("hosts / callers / slots", shape(summary));
-    line("fairness gap (tokens)", gap(summary));
+    line("hosts / callers / slots", dimensions(summary));
+    line("fairness gap (tokens)", format_gap(summary));
     line(
         "fairness bound (tokens)",
         summary.fairness_bound_tokens.to_string(),
@@ -35,7 +35,10 @@
         ("first token", &summary.first_token_ms),
     ] {
         for (group, times) in groups(times) {
-            line(&format!("{name} ms, {group} accounts"), spread(&times));
+            line(
+                &format!("{name} ms, {group} accounts"),
+                format_percentiles(&times),
+            );
         }
     }
     let inside = summary.mean_wait_inside_ms;
@@ -46,14 +49,14 @@
     out
 }
 
-fn shape(summary: &Summary) -> String {
+fn dimensions(summary: &Summary) -> String {
     format!(
         "{} / {} / {}",
         summary.hosts, summary.callers, summary.slots
     )
 }
 
-fn gap(summary: &Summary) -> String {
+fn format_gap(summary: &Summary) -> String {
     let size = summary.fairness_gap_tokens;
     match &summary.fairness_gap_between {
         Some([a, b]) => format!("{size} between {a} and {b}"),
@@ -69,7 +72,7 @@
     [("small", times.small), ("large", times.large)]
 }
 
-fn spread(times: &Percentiles) -> String {
+fn format_percentiles(times: &Percentiles) -> String {
     let Percentiles {
         p50,
         p95,
@@ -102,7 +105,7 @@
     ]
 }
 
-/// The table of what the hop costs: the engine called directly beside the fleet.
+/// Formats the overhead of the hop as a table: direct calls, calls through the fleet, difference.
 #[must_use]
 pub fn hop_table(cost: &HopCost) -> String {
     let mut out = String::new();
--- a/src/coltsfootnotch/ops/load/target.rs
+++ b/src/coltsfootnotch/ops/load/target.rs
@@ -1,4 +1,4 @@
-//! The fleet that a load run drives, and what can be seen of it from outside.
+//! The fleet that a load run sends requests to.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use coltsfootnotch_manifest::TokenWeights;
 use coltsfootnotch_types::{AccountName, Weight};
 
-/// A client account whose callers the run plays.
+/// A client account whose callers the run simulates.
 #[derive(Debug, Clone)]
 pub struct LoadAccount {
     /// Name of the account.
@@ -16,38 +16,39 @@
     pub key: String,
     /// Its share of contended capacity.
     pub weight: Weight,
-    /// Whether figures count it among the large accounts.
+    /// Whether metrics count it among the large accounts.
     pub large: bool,
 }
 
 /// A running fleet.
 ///
-/// `engines` and `services` are the stand-ins in this process; they are empty for a fleet elsewhere,
-/// and then utilisation and doubled bookings can't be seen.
+/// `engines` and `services` are the stand-ins in this process. They are empty for a remote fleet,
+/// for which utilisation, crashes, doubled and lost bookings and refused requests that ran are not
+/// seen.
 pub struct Target<'a> {
     /// Addresses of the entries.
     pub entries: Vec<SocketAddr>,
-    /// Accounts to play.
+    /// Accounts whose callers are simulated.
     pub accounts: Vec<LoadAccount>,
-    /// Model that callers ask for.
+    /// Model that callers request.
     pub model: String,
-    /// Service units of a token, from the manifest.
+    /// Service units per token, from the manifest.
     pub token_weights: TokenWeights,
-    /// Path of the order service, such as `/member-desk`; without it nothing is booked.
+    /// Path prefix of the order service, such as `/member-desk`; without it no orders are sent.
     pub booking_prefix: Option<String>,
     /// The stand-in engines.
     pub engines: &'a [EngineHandle],
     /// The stand-in order services.
     pub services: &'a [OrderHandle],
-    /// Slots of engines that are not in this process.
+    /// Slots of engines outside this process.
     pub slots_elsewhere: u32,
-    /// Policy that the fleet chooses by, as it is printed.
+    /// Scheduling policy of the fleet, as printed.
     pub policy: String,
-    /// Hosts of the fleet.
+    /// Number of hosts of the fleet.
     pub hosts: usize,
-    /// Longest time that a sidecar's knowledge of service elsewhere lags, for the fairness bound.
+    /// Maximum age of a sidecar's record of service on other hosts, for the fairness bound.
     pub knowledge_age: Duration,
-    /// Bytes that the hosts have sent each other so far, answers excluded.
+    /// Bytes that the hosts have sent to each other so far, answers excluded.
     pub control_bytes: Box<dyn Fn() -> u64 + Send + Sync + 'a>,
 }
 
@@ -55,11 +56,11 @@
     /// Slots of all engines.
     #[must_use]
     pub fn slots(&self) -> u32 {
-        let here: u32 = self.engines.iter().map(|engine| engine.stats().slots).sum();
-        here + self.slots_elsewhere
+        let local_slots: u32 = self.engines.iter().map(|engine| engine.stats().slots).sum();
+        local_slots + self.slots_elsewhere
     }
 
-    /// Slot time that the stand-in engines have used so far.
+    /// Slot time used by the stand-in engines so far.
     #[must_use]
     pub fn busy(&self) -> Duration {
         self.engines.iter().map(|engine| engine.stats().busy).sum()
--- a/tests/testsuite/load.rs
+++ b/tests/testsuite/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against stand-ins that it calls directly: its checks pass and fail as they should.
+//! The load generator against stand-ins that it calls directly, and through a fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn answers_of_an_engine_are_whole_and_right() {
+fn answers_of_an_engine_are_complete_and_correct() {
     let engines = [engine()];
     let target = target(engines[0].address(), &engines, &[]);
     let run = run(&target, &opts(Scenario::Saturation), |_| {}).expect("runs");
@@ -72,10 +72,10 @@
     expect_that!(html.matches("<svg").count(), eq(3));
 }
 
-// Callers send an acknowledged order again, and the order service, called without the fleet, books
-// it again: the load tool must count these doubled bookings, or it could never find one.
+// Without the fleet the order service books resent orders again; guards against a check that never
+// detects doubled bookings.
 #[gtest]
-fn a_service_without_the_fleet_shows_doubled_bookings() {
+fn doubled_bookings_of_a_service_without_the_fleet_are_counted() {
     let services = [OrderHandle::start(OrderConfig::new("desk-1", "desk")).expect("starts")];
     let mut target = target(services[0].address(), &[], &services);
     target.accounts.remove(0);
@@ -85,10 +85,10 @@
     expect_that!(run.summary.all_right(), eq(false));
 }
 
-// The engine crashes while it answers; callers see their streams cut without an error event, which
-// the load tool must count as incomplete.
+// A crashing engine truncates streams without an error event; these answers must be counted as
+// incomplete.
 #[gtest]
-fn a_crash_without_the_fleet_shows_incomplete_answers() {
+fn incomplete_answers_of_a_crashing_engine_are_counted() {
     let engines = [engine()];
     let target = target(engines[0].address(), &engines, &[]);
     let run = run(&target, &opts(Scenario::CrashingRequest), |_| {}).expect("runs");
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn an_engine_called_twice_costs_no_hop() {
+fn the_hop_measurement_succeeds_when_both_paths_call_the_engine() {
     let engines = [engine()];
     let target = target(engines[0].address(), &engines, &[]);
     let opts = HopOptions {
@@ -116,7 +116,7 @@
 }
 
 #[gtest]
-fn a_flood_comes_from_one_account() {
+fn the_flood_scenario_assigns_most_callers_to_one_account() {
     let accounts = [account("chain", 4, true), account("bistro", 1, false)];
     let shape = Shape {
         entries: 2,
@@ -127,11 +127,11 @@
     expect_that!([count(0), count(1)], eq([48, 8]));
 }
 
-// Order services lose answers, fail before and after they book, and callers send their orders again
-// with the same key through any entry. Through the fleet no key may be booked twice, none that was
-// acknowledged may be missing, and nothing that was refused as not run may have run.
+// Order services lose answers and fail before and after booking, and callers retry with the same
+// key. The fleet must not book a key twice, lose an acknowledged key or run a request refused as
+// not run.
 #[gtest]
-fn through_the_fleet_bookings_are_neither_doubled_nor_lost() {
+fn bookings_through_the_fleet_are_neither_doubled_nor_lost() {
     let size = Size { hosts: 9, slots: 4 };
     let plan = fleet_plan(Scenario::Bookings, Policy::Fair, size, None);
     let fleet = Fleet::start(&plan, &mut StdRng::seed_from_u64(7)).expect("starts");
