--- a/src/bin/coltsfootnotch/commands/load.rs
+++ b/src/bin/coltsfootnotch/commands/load.rs
@@ -6,7 +6,8 @@
 
 use bpaf::{Parser, construct, long};
 use coltsfootnotch::ops::load::{
-    EmbeddedFleet, FleetChoice, LoadCommand, LoadOptions, Policy, RemoteFleet, Scenario, Size, load,
+    EmbeddedFleet, FleetChoice, FleetSize, LoadCommand, LoadOptions, Policy, RemoteFleet, Scenario,
+    load,
 };
 
 use super::Command;
@@ -55,10 +56,10 @@
     construct!(embedded, hosts, slots, policy, manifest, settle).map(
         |((), hosts, slots, policy, manifest, settle)| {
             FleetChoice::Embedded(EmbeddedFleet {
-                size: Size { hosts, slots },
+                size: FleetSize { hosts, slots },
                 policy,
                 manifest,
-                settle: Duration::from_secs(settle),
+                warm_up: Duration::from_secs(settle),
             })
         },
     )
--- a/src/coltsfootnotch/ops/load/caller.rs
+++ b/src/coltsfootnotch/ops/load/caller.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use super::client::{Answer, ChatCall, Client, Progress};
-use super::plan::{Ask, CallerPlan, Pattern};
+use super::plan::{ArrivalPattern, CallerPlan, RequestKind};
 use super::recorder::Recorder;
 use super::target::Target;
 
@@ -76,11 +76,11 @@
                 continue;
             }
             self.sent_requests += 1;
-            match self.plan.ask {
-                Ask::Chat | Ask::CrashingChat => self.send_chat(),
-                Ask::Booking => self.place_order(),
+            match self.plan.kind {
+                RequestKind::Chat | RequestKind::CrashingChat => self.send_chat(),
+                RequestKind::Booking => self.place_order(),
             }
-            if let Pattern::Closed { pause } = self.plan.pattern {
+            if let ArrivalPattern::Closed { pause } = self.plan.pattern {
                 self.sleep(pause);
             }
         }
@@ -88,7 +88,7 @@
 
     /// Whether the arrival pattern allows a request now; sleeps for [`SLEEP_SLICE`] if not.
     fn can_send(&self) -> bool {
-        let Pattern::Bursts { every, length } = self.plan.pattern else {
+        let ArrivalPattern::Bursts { every, length } = self.plan.pattern else {
             return true;
         };
         let within = self.started.elapsed().as_millis() % every.as_millis();
@@ -133,7 +133,7 @@
         let correct = matches!(&answer, Answer::Complete(text)
             if *text == expected_answer(&prompt, call.max_tokens));
         recorder.record_answer(account, number, &answer, correct);
-        if is_refused_not_run(&answer) && self.plan.ask == Ask::Chat {
+        if is_refused_not_run(&answer) && self.plan.kind == RequestKind::Chat {
             recorder.record_not_run(prompt);
         }
         self.back_off(&answer);
@@ -142,8 +142,8 @@
     fn next_chat(&mut self) -> ChatCall {
         let account = &self.target.accounts[self.plan.account];
         let system = format!("You answer the members of {}. ", account.name);
-        let mut user = match self.plan.ask {
-            Ask::CrashingChat => format!("{POISON_MARKER} of run {}", self.seed),
+        let mut user = match self.plan.kind {
+            RequestKind::CrashingChat => format!("{POISON_MARKER} of run {}", self.seed),
             _ => format!(
                 "run {} caller {} request {}: ",
                 self.seed, self.index, self.sent_requests
@@ -151,14 +151,14 @@
         };
         let prompt_tokens = self.rng.random_range(self.plan.prompt_tokens.clone());
         let prompt_bytes = 4 * prompt_tokens as usize;
-        if self.plan.ask == Ask::Chat {
+        if self.plan.kind == RequestKind::Chat {
             pad(&mut user, prompt_bytes.saturating_sub(SYSTEM_MESSAGE_BYTES));
         }
         let mut padded = system.clone();
         pad(&mut padded, SYSTEM_MESSAGE_BYTES);
         let mut max_tokens = self.rng.random_range(self.plan.answer_tokens.clone());
         let mut stream = !self.rng.random_bool(UNSTREAMED_PROBABILITY);
-        if self.plan.ask == Ask::CrashingChat {
+        if self.plan.kind == RequestKind::CrashingChat {
             // Each request of this caller is identical.
             (max_tokens, stream) = (*self.plan.answer_tokens.start(), true);
         }
--- a/src/coltsfootnotch/ops/load/command.rs
+++ b/src/coltsfootnotch/ops/load/command.rs
@@ -12,12 +12,12 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use super::embedded::{Size, embedded_target, fleet_plan, remote_target};
-use super::hop::{HopOptions, hop};
-use super::page::page;
+use super::embedded::{FleetSize, embedded_target, fleet_plan, remote_target};
+use super::hop::{HopOptions, measure_hop};
 use super::policy::Policy;
+use super::report::html_report;
 use super::run::{LoadOptions, LoadRun, run};
-use super::table::{hop_table, table};
+use super::table::{hop_table, summary_table};
 use super::target::Target;
 use crate::ops::fleet::{Fleet, FleetError};
 
@@ -42,13 +42,13 @@
 #[derive(Debug, Clone)]
 pub struct EmbeddedFleet {
     /// Number of hosts and slots.
-    pub size: Size,
+    pub size: FleetSize,
     /// Scheduling policy.
     pub policy: Policy,
     /// Manifest that accounts and replicas are taken from, if any.
     pub manifest: Option<PathBuf>,
     /// How long the fleet runs before the callers start; new upstreams receive load gradually.
-    pub settle: Duration,
+    pub warm_up: Duration,
 }
 
 /// Options of a fleet outside this process.
@@ -104,15 +104,16 @@
     /// The fleet gave wrong answers.
     #[display("the fleet gave wrong answers; see the counts in the results")]
     #[from(skip)]
-    Wrong,
+    Incorrect,
 }
 
 /// Runs the command; writes the results to `out` and passes a line about once a second to
 /// `progress`.
 ///
-/// # Errors Returns an error when the run fails, and [`LoadError::Wrong`] when the fleet gave a
-/// wrong, incomplete or untyped answer, doubled or lost a booking, or ran a request that it had
-/// refused as not run.
+/// # Errors
+/// Returns an error when the run fails, and [`LoadError::Incorrect`] when the fleet gave a wrong,
+/// incomplete or untyped answer, doubled or lost a booking, or ran a request that it had refused as
+/// not run.
 pub fn load(
     command: &LoadCommand,
     out: &mut impl Write,
@@ -129,7 +130,7 @@
             let plan = fleet_plan(scenario, embedded.policy, embedded.size, manifest.as_ref());
             let mut rng = StdRng::seed_from_u64(command.opts.seed);
             let fleet = Fleet::start(&plan, &mut rng)?;
-            thread::sleep(embedded.settle);
+            thread::sleep(embedded.warm_up);
             let target = embedded_target(&fleet, embedded.policy);
             let outcome = run_on(command, &target, out, progress);
             drop(target);
@@ -141,7 +142,7 @@
             let key = |account: &str| format!("{}{account}", remote.key_prefix);
             let target = Target {
                 entries: remote.entries.clone(),
-                slots_elsewhere: remote.slots,
+                remote_slots: remote.slots,
                 ..remote_target(&manifest, key)
             };
             run_on(command, &target, out, progress)
@@ -166,10 +167,10 @@
     }
     let run = run(target, &command.opts, progress)?;
     write_results(command, &run, out)?;
-    if run.summary.all_right() {
+    if run.summary.is_correct() {
         Ok(())
     } else {
-        Err(LoadError::Wrong)
+        Err(LoadError::Incorrect)
     }
 }
 
@@ -179,14 +180,14 @@
     out: &mut impl Write,
 ) -> Result<(), LoadError> {
     if let Some(path) = &command.report {
-        let html = page(run).map_err(|source| LoadError::Page { source })?;
+        let html = html_report(run).map_err(|source| LoadError::Page { source })?;
         fs::write(path, html)?;
     }
     if command.json {
         serde_json::to_writer(&mut *out, &run.summary)?;
         writeln!(out)?;
     } else {
-        write!(out, "{}", table(&run.summary))?;
+        write!(out, "{}", summary_table(&run.summary))?;
     }
     Ok(())
 }
@@ -202,15 +203,15 @@
         pairs: HOP_PAIRS,
         phase: command.opts.length / 2,
         callers: HOP_CALLERS_PER_ENGINE * engines.max(1),
-        open: HOP_HOLD_TIME,
+        hold_time: HOP_HOLD_TIME,
         streams: HOP_STREAMS.min(target.slots() as usize),
     };
-    let cost = hop(target, &opts, progress)?;
+    let overhead = measure_hop(target, &opts, progress)?;
     if command.json {
-        serde_json::to_writer(&mut *out, &cost)?;
+        serde_json::to_writer(&mut *out, &overhead)?;
         writeln!(out)?;
     } else {
-        write!(out, "{}", hop_table(&cost))?;
+        write!(out, "{}", hop_table(&overhead))?;
     }
     Ok(())
 }
--- a/src/coltsfootnotch/ops/load/embedded.rs
+++ b/src/coltsfootnotch/ops/load/embedded.rs
@@ -46,7 +46,7 @@
 
 /// Size of an embedded fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Size {
+pub struct FleetSize {
     /// Total number of hosts; those left after control hosts, entries and services run engines.
     pub hosts: usize,
     /// Slots of each engine.
@@ -58,7 +58,7 @@
 pub fn fleet_plan(
     scenario: Scenario,
     policy: Policy,
-    size: Size,
+    size: FleetSize,
     manifest: Option<&Manifest>,
 ) -> FleetPlan {
     let mut plan = FleetPlan::demo();
@@ -191,10 +191,10 @@
         booking_prefix: manifest.services.first().map(prefix),
         engines: &[],
         services: &[],
-        slots_elsewhere: 0,
+        remote_slots: 0,
         policy: "of the fleet".to_owned(),
         hosts: 1,
-        knowledge_age: MAX_STALENESS,
+        staleness: MAX_STALENESS,
         control_bytes: Box::new(|| 0),
     }
 }
--- a/src/coltsfootnotch/ops/load/hop.rs
+++ b/src/coltsfootnotch/ops/load/hop.rs
@@ -36,14 +36,14 @@
     /// Callers of the throughput phases; fewer than there are slots, so that no request queues.
     pub callers: usize,
     /// How long the streams are open before memory is read; they last twice as long.
-    pub open: Duration,
+    pub hold_time: Duration,
     /// Streams open at the second memory reading; at most the number of slots.
     pub streams: usize,
 }
 
 /// Metrics of one path to the engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct HopSide {
+pub struct PathMetrics {
     /// From sending to the first token.
     pub first_token_ms: Percentiles,
     /// From one token to the next.
@@ -62,11 +62,11 @@
 
 /// Metrics of both paths.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct HopCost {
+pub struct HopOverhead {
     /// Direct calls to the engines.
-    pub direct: HopSide,
+    pub direct: PathMetrics,
     /// Calls to the same engines through the fleet.
-    pub fleet: HopSide,
+    pub fleet: PathMetrics,
 }
 
 /// Reading taken while streams were open.
@@ -83,7 +83,7 @@
     name: &'static str,
     first_token: Histogram<u64>,
     between_tokens: Histogram<u64>,
-    metrics: HopSide,
+    metrics: PathMetrics,
 }
 
 impl<'a> MeasuredPath<'a> {
@@ -96,7 +96,7 @@
             name,
             first_token: histogram(),
             between_tokens: histogram(),
-            metrics: HopSide::default(),
+            metrics: PathMetrics::default(),
         }
     }
 
@@ -172,8 +172,8 @@
     fn measure_memory(&mut self, opts: &HopOptions, token: Duration) -> io::Result<()> {
         let fewer = opts.streams.div_ceil(FIRST_READING_DIVISOR);
         let (_, failed) = self.run_callers(fewer, opts.phase, LATENCY_TOKENS)?;
-        let few = self.hold_streams(fewer, opts.open, token)?;
-        let many = self.hold_streams(opts.streams, opts.open, token)?;
+        let few = self.hold_streams(fewer, opts.hold_time, token)?;
+        let many = self.hold_streams(opts.streams, opts.hold_time, token)?;
         self.metrics.failures += failed + few.failures + many.failures;
         self.metrics.streams = many.open;
         if let (Some(before), Some(after)) = (few.resident, many.resident) {
@@ -217,7 +217,7 @@
         })
     }
 
-    fn finish(mut self) -> HopSide {
+    fn finish(mut self) -> PathMetrics {
         self.metrics.first_token_ms = percentiles(&self.first_token);
         self.metrics.between_tokens_ms = percentiles(&self.between_tokens);
         self.metrics
@@ -231,11 +231,11 @@
 ///
 /// # Errors
 /// Returns the system's error when a caller's thread can't be started.
-pub fn hop(
+pub fn measure_hop(
     target: &Target<'_>,
     opts: &HopOptions,
     mut progress: impl FnMut(&str),
-) -> io::Result<HopCost> {
+) -> io::Result<HopOverhead> {
     let key = target.accounts.first().map(|account| account.key.clone());
     let entries = target.entries.iter();
     let through = entries.map(|address| Client::new(*address, key.clone()));
@@ -265,7 +265,7 @@
     let token = token.min().unwrap_or(Duration::from_millis(1));
     fleet.measure_memory(opts, token)?;
     direct.measure_memory(opts, token)?;
-    Ok(HopCost {
+    Ok(HopOverhead {
         direct: direct.finish(),
         fleet: fleet.finish(),
     })
--- a/src/coltsfootnotch/ops/load/plan.rs
+++ b/src/coltsfootnotch/ops/load/plan.rs
@@ -27,7 +27,7 @@
 
 /// Kind of request that a caller sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ask {
+pub enum RequestKind {
     /// Chat completions.
     Chat,
     /// The same chat completion each time, which crashes the engine that runs it.
@@ -38,7 +38,7 @@
 
 /// When a caller sends requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pattern {
+pub enum ArrivalPattern {
     /// Closed loop: after each answer and a pause.
     Closed {
         /// Time between an answer and the next request.
@@ -61,9 +61,9 @@
     /// Index of the entry that it calls.
     pub entry: usize,
     /// Kind of request.
-    pub ask: Ask,
+    pub kind: RequestKind,
     /// Arrival pattern.
-    pub pattern: Pattern,
+    pub pattern: ArrivalPattern,
     /// Range of the tokens of its prompts.
     pub prompt_tokens: RangeInclusive<u32>,
     /// Range of the tokens of its answers.
@@ -72,7 +72,7 @@
 
 /// Dimensions of the fleet that callers are planned for.
 #[derive(Debug, Clone, Copy)]
-pub struct Shape {
+pub struct FleetShape {
     /// Number of entries that callers are spread over.
     pub entries: usize,
     /// Slots of all engines.
@@ -81,7 +81,11 @@
 
 /// Plans the callers of `scenario`, at most [`MAX_CALLERS`].
 #[must_use]
-pub fn callers(scenario: Scenario, accounts: &[LoadAccount], shape: Shape) -> Vec<CallerPlan> {
+pub fn plan_callers(
+    scenario: Scenario,
+    accounts: &[LoadAccount],
+    shape: FleetShape,
+) -> Vec<CallerPlan> {
     let mut callers = Vec::new();
     for account in 0..accounts.len() {
         let count = caller_count(scenario, accounts, account, shape.slots);
@@ -93,8 +97,8 @@
     }
     if scenario == Scenario::CrashingRequest {
         let mut caller = default_caller(0, 0);
-        caller.ask = Ask::CrashingChat;
-        caller.pattern = Pattern::Closed { pause: CRASH_PAUSE };
+        caller.kind = RequestKind::CrashingChat;
+        caller.pattern = ArrivalPattern::Closed { pause: CRASH_PAUSE };
         callers.insert(0, caller);
     }
     callers.truncate(MAX_CALLERS);
@@ -105,8 +109,8 @@
     CallerPlan {
         account,
         entry,
-        ask: Ask::Chat,
-        pattern: Pattern::Closed {
+        kind: RequestKind::Chat,
+        pattern: ArrivalPattern::Closed {
             pause: Duration::ZERO,
         },
         prompt_tokens: TYPICAL_PROMPT,
@@ -144,18 +148,18 @@
 fn apply_scenario(scenario: Scenario, accounts: &[LoadAccount], caller: &mut CallerPlan) {
     match scenario {
         Scenario::Burst if caller.account.is_multiple_of(2) => {
-            caller.pattern = Pattern::Bursts {
+            caller.pattern = ArrivalPattern::Bursts {
                 every: BURST_INTERVAL,
                 length: BURST_LENGTH,
             };
         }
         Scenario::Burst => {
-            caller.pattern = Pattern::Closed {
+            caller.pattern = ArrivalPattern::Closed {
                 pause: INTERACTIVE_PAUSE * 4,
             }
         }
         Scenario::Flood if caller.account > 0 => {
-            caller.pattern = Pattern::Closed {
+            caller.pattern = ArrivalPattern::Closed {
                 pause: INTERACTIVE_PAUSE,
             };
         }
@@ -164,7 +168,7 @@
         Scenario::LongAmongShort if caller.account == 0 => caller.answer_tokens = LONG_ANSWER,
         Scenario::LongAmongShort => caller.answer_tokens = SHORT_ANSWER,
         Scenario::Bookings if !accounts[caller.account].large || caller.account == 0 => {
-            caller.ask = Ask::Booking;
+            caller.kind = RequestKind::Booking;
         }
         _ => {}
     }
--- a/src/coltsfootnotch/ops/load/page.rs
+++ b/src/coltsfootnotch/ops/load/report.rs
@@ -6,7 +6,7 @@
 
 use super::run::LoadRun;
 use super::series::Sample;
-use super::table::table;
+use super::table::summary_table;
 
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (960, 360);
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// Returns the plotting library's error when a plot can't be drawn.
-pub fn page(run: &LoadRun) -> Result<String, Box<dyn Error>> {
+pub fn html_report(run: &LoadRun) -> Result<String, Box<dyn Error>> {
     let service: Vec<Line<'_>> = run
         .accounts
         .iter()
@@ -53,13 +53,13 @@
     Ok(format!(
         "<!DOCTYPE html>\n<html lang=\"en\">\n<head><meta charset=\"utf-8\">\
          <title>{title}</title></head>\n<body>\n<h1>{title}</h1>\n<pre>{}</pre>\n{}\n</body>\n</html>\n",
-        escape(&table(summary)),
+        escape(&summary_table(summary)),
         plots.join("\n"),
     ))
 }
 
 fn points(samples: &[Sample], value: impl Fn(&Sample) -> f64) -> Vec<(f64, f64)> {
-    let point = |s: &Sample| (s.at.as_secs_f64(), value(s));
+    let point = |s: &Sample| (s.elapsed.as_secs_f64(), value(s));
     samples.iter().map(point).collect()
 }
 
--- a/src/coltsfootnotch/ops/load/run.rs
+++ b/src/coltsfootnotch/ops/load/run.rs
@@ -7,7 +7,7 @@
 use coltsfootnotch_types::{ServiceUnits, Weight};
 
 use super::caller::Caller;
-use super::plan::{self, CallerPlan, Shape};
+use super::plan::{self, CallerPlan, FleetShape};
 use super::recorder::Recorder;
 use super::sampler::{POLL_INTERVAL, Sampler};
 use super::scenario::Scenario;
@@ -50,11 +50,11 @@
     opts: &LoadOptions,
     mut progress: impl FnMut(&str),
 ) -> std::io::Result<LoadRun> {
-    let fleet_shape = Shape {
+    let fleet_shape = FleetShape {
         entries: target.entries.len(),
         slots: target.slots() as usize,
     };
-    let plans = plan::callers(opts.scenario, &target.accounts, fleet_shape);
+    let plans = plan::plan_callers(opts.scenario, &target.accounts, fleet_shape);
     let recorder = Recorder::new(&target.accounts, target.token_weights);
     let control_bytes_before = (target.control_bytes)();
     let mut sampler = Sampler::new(target, &recorder, opts.scenario, opts.length);
@@ -180,7 +180,7 @@
         largest: plans.iter().map(cost).max().unwrap_or_default(),
         slots: target.slots(),
         slot_rate: ServiceUnits(slot_rate),
-        staleness: target.knowledge_age,
+        staleness: target.staleness,
     };
     let smallest = target.accounts.iter().map(|account| account.weight).min();
     let smallest = smallest.unwrap_or(Weight::DEFAULT);
--- a/src/coltsfootnotch/ops/load/sampler.rs
+++ b/src/coltsfootnotch/ops/load/sampler.rs
@@ -46,7 +46,7 @@
         length: Duration,
     ) -> Self {
         let now = Instant::now();
-        let busy = target.busy();
+        let busy = target.busy_time();
         Self {
             target,
             recorder,
@@ -77,7 +77,7 @@
             .update(self.scenario, self.target.engines, elapsed, self.length);
         let waiting: usize = self.recorder.sample_backlog().iter().sum();
         self.most_waiting = self.most_waiting.max(waiting);
-        let busy = self.target.busy();
+        let busy = self.target.busy_time();
         self.record_usage(now, busy, waiting);
         if now - self.last_sample.0 >= SAMPLE_INTERVAL {
             self.take_sample(now, busy, waiting);
@@ -105,7 +105,7 @@
         let (previous, previous_busy) = std::mem::replace(&mut self.last_sample, (now, busy));
         let available = (now - previous) * self.slots;
         self.samples.push(Sample {
-            at: now - self.started,
+            elapsed: now - self.started,
             service: self.recorder.service(),
             waiting,
             utilisation: share(busy.saturating_sub(previous_busy), available),
--- a/src/coltsfootnotch/ops/load/series.rs
+++ b/src/coltsfootnotch/ops/load/series.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sample {
     /// Time since the start of the run.
-    pub at: Duration,
+    pub elapsed: Duration,
     /// Cumulative service of each account in service units, in the order of the target's accounts.
     pub service: Vec<u64>,
     /// Waiting requests of all accounts.
--- a/src/coltsfootnotch/ops/load/summary.rs
+++ b/src/coltsfootnotch/ops/load/summary.rs
@@ -101,7 +101,7 @@
     /// Whether the run had no wrong, incomplete or untyped answer, no doubled or lost booking, and
     /// no refused request that ran.
     #[must_use]
-    pub fn all_right(&self) -> bool {
+    pub fn is_correct(&self) -> bool {
         let faults = [
             self.wrong_answers,
             self.incomplete_answers,
--- a/src/coltsfootnotch/ops/load/table.rs
+++ b/src/coltsfootnotch/ops/load/table.rs
@@ -2,12 +2,12 @@
 
 use std::fmt::Write;
 
-use super::hop::{HopCost, HopSide};
+use super::hop::{HopOverhead, PathMetrics};
 use super::summary::{Percentiles, SmallAndLarge, Summary};
 
 /// Formats the metrics of a run as a table.
 #[must_use]
-pub fn table(summary: &Summary) -> String {
+pub fn summary_table(summary: &Summary) -> String {
     let mut out = String::new();
     let mut line = |name: &str, value: String| {
         // Writing to a string is infallible.
@@ -107,10 +107,10 @@
 
 /// Formats the overhead of the hop as a table: direct calls, calls through the fleet, difference.
 #[must_use]
-pub fn hop_table(cost: &HopCost) -> String {
+pub fn hop_table(overhead: &HopOverhead) -> String {
     let mut out = String::new();
-    let (direct, fleet) = (&cost.direct, &cost.fleet);
-    let row = |out: &mut String, name: &str, value: &dyn Fn(&HopSide) -> f64| {
+    let (direct, fleet) = (&overhead.direct, &overhead.fleet);
+    let row = |out: &mut String, name: &str, value: &dyn Fn(&PathMetrics) -> f64| {
         let (d, f) = (value(direct), value(fleet));
         let _ = writeln!(out, "{name:<34}{d:>12.3}{f:>12.3}{:>12.3}", f - d);
     };
--- a/src/coltsfootnotch/ops/load/target.rs
+++ b/src/coltsfootnotch/ops/load/target.rs
@@ -41,13 +41,13 @@
     /// The stand-in order services.
     pub services: &'a [OrderHandle],
     /// Slots of engines outside this process.
-    pub slots_elsewhere: u32,
+    pub remote_slots: u32,
     /// Scheduling policy of the fleet, as printed.
     pub policy: String,
     /// Number of hosts of the fleet.
     pub hosts: usize,
     /// Maximum age of a sidecar's record of service on other hosts, for the fairness bound.
-    pub knowledge_age: Duration,
+    pub staleness: Duration,
     /// Bytes that the hosts have sent to each other so far, answers excluded.
     pub control_bytes: Box<dyn Fn() -> u64 + Send + Sync + 'a>,
 }
@@ -57,12 +57,12 @@
     #[must_use]
     pub fn slots(&self) -> u32 {
         let local_slots: u32 = self.engines.iter().map(|engine| engine.stats().slots).sum();
-        local_slots + self.slots_elsewhere
+        local_slots + self.remote_slots
     }
 
     /// Slot time used by the stand-in engines so far.
     #[must_use]
-    pub fn busy(&self) -> Duration {
+    pub fn busy_time(&self) -> Duration {
         self.engines.iter().map(|engine| engine.stats().busy).sum()
     }
 }
--- a/tests/testsuite/load.rs
+++ b/tests/testsuite/load.rs
@@ -5,8 +5,8 @@
 
 use coltsfootnotch::ops::fleet::Fleet;
 use coltsfootnotch::ops::load::{
-    HopOptions, LoadAccount, LoadOptions, Policy, Scenario, Shape, Size, Target, callers,
-    embedded_target, fleet_plan, hop, page, run,
+    FleetShape, FleetSize, HopOptions, LoadAccount, LoadOptions, Policy, Scenario, Target,
+    embedded_target, fleet_plan, html_report, measure_hop, plan_callers, run,
 };
 use coltsfootnotch_fakes::{EngineConfig, EngineHandle, OrderConfig, OrderHandle};
 use coltsfootnotch_manifest::TokenWeights;
@@ -40,10 +40,10 @@
         booking_prefix: Some(String::new()),
         engines,
         services,
-        slots_elsewhere: 0,
+        remote_slots: 0,
         policy: "none".to_owned(),
         hosts: 1,
-        knowledge_age: Duration::ZERO,
+        staleness: Duration::ZERO,
         control_bytes: Box::new(|| 0),
     }
 }
@@ -65,10 +65,10 @@
     let engines = [engine()];
     let target = target(engines[0].address(), &engines, &[]);
     let run = run(&target, &opts(Scenario::Saturation), |_| {}).expect("runs");
-    expect_that!(run.summary.all_right(), eq(true));
+    expect_that!(run.summary.is_correct(), eq(true));
     expect_that!(run.summary.whole_answers, ge(1));
     expect_that!(run.summary.whole_answers, eq(run.summary.requests));
-    let html = page(&run).expect("plots");
+    let html = html_report(&run).expect("plots");
     expect_that!(html.matches("<svg").count(), eq(3));
 }
 
@@ -82,7 +82,7 @@
     let run = run(&target, &opts(Scenario::Bookings), |_| {}).expect("runs");
     expect_that!(run.summary.doubled_bookings, ge(1));
     expect_that!(run.summary.lost_bookings, eq(0));
-    expect_that!(run.summary.all_right(), eq(false));
+    expect_that!(run.summary.is_correct(), eq(false));
 }
 
 // A crashing engine truncates streams without an error event; these answers must be counted as
@@ -107,22 +107,22 @@
         pairs: 3,
         phase: Duration::from_millis(200),
         callers: 2,
-        open: Duration::from_millis(200),
+        hold_time: Duration::from_millis(200),
         streams: 2,
     };
-    let cost = hop(&target, &opts, |_| {}).expect("runs");
-    expect_that!(cost.fleet.failures + cost.direct.failures, eq(0));
-    expect_that!(cost.fleet.first_token_ms.count, eq(3));
+    let overhead = measure_hop(&target, &opts, |_| {}).expect("runs");
+    expect_that!(overhead.fleet.failures + overhead.direct.failures, eq(0));
+    expect_that!(overhead.fleet.first_token_ms.count, eq(3));
 }
 
 #[gtest]
 fn the_flood_scenario_assigns_most_callers_to_one_account() {
     let accounts = [account("chain", 4, true), account("bistro", 1, false)];
-    let shape = Shape {
+    let shape = FleetShape {
         entries: 2,
         slots: 16,
     };
-    let plans = callers(Scenario::Flood, &accounts, shape);
+    let plans = plan_callers(Scenario::Flood, &accounts, shape);
     let count = |account| plans.iter().filter(|plan| plan.account == account).count();
     expect_that!([count(0), count(1)], eq([48, 8]));
 }
@@ -132,7 +132,7 @@
 // not run.
 #[gtest]
 fn bookings_through_the_fleet_are_neither_doubled_nor_lost() {
-    let size = Size { hosts: 9, slots: 4 };
+    let size = FleetSize { hosts: 9, slots: 4 };
     let plan = fleet_plan(Scenario::Bookings, Policy::Fair, size, None);
     let fleet = Fleet::start(&plan, &mut StdRng::seed_from_u64(7)).expect("starts");
     let target = embedded_target(&fleet, Policy::Fair);
