--- a/examples/embed_late_binding.rs
+++ b/examples/embed_late_binding.rs
@@ -1,7 +1,7 @@
-//! Late binding as a library: one entry core, one sidecar core, no socket and no daemon.
+//! Late binding as a library: one entry core and one sidecar core, without sockets or daemons.
 //!
-//! One account has twenty requests waiting when another comes with two. The sidecar has four slots;
-//! each that comes free pulls the request of the account that had less service per weight.
+//! One account submits twenty requests, then another submits two. Whenever a slot of the sidecar
+//! becomes free, it pulls a request of the account with less service per weight.
 
 use std::collections::VecDeque;
 use std::error::Error;
@@ -16,21 +16,22 @@
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{AttemptId, Begin, BeginCause, Call};
 
-/// What each request turns out to cost.
+/// Actual cost of each request.
 const COST: ServiceUnits = ServiceUnits(100);
-/// How long each runs.
-const RUN: Duration = Duration::from_millis(50);
-/// Time between two announcements of the upstream.
-const ANNOUNCED_EVERY: Duration = Duration::from_secs(1);
-/// Announcements before the requests come: a new upstream gets its whole share in ten seconds.
+/// Duration of each request.
+const RUN_TIME: Duration = Duration::from_millis(50);
+/// Interval between two announcements of the upstream.
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_secs(1);
+/// Announcements before the first request; a new upstream receives its full share after ten
+/// seconds.
 const ANNOUNCEMENTS: u32 = 12;
-/// How long an announcement holds and callers wait; longer than the whole example.
-const LONG: Duration = Duration::from_secs(60);
-/// Enough turns for every request.
-const TURNS: u32 = 20;
+/// Validity of announcements and deadline of requests; longer than the example runs.
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of steps; enough for all requests to start.
+const STEPS: u32 = 20;
 
-/// Both cores, and the runs in progress.
-struct Pair {
+/// Both cores and the requests in progress.
+struct Cores {
     entry: EntryCore,
     sidecar: SidecarCore,
     entry_host: HostName,
@@ -39,29 +40,33 @@
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    for (place, account) in run()?.iter().enumerate() {
-        println!("{:>2} {account}", place + 1);
+    for (index, account) in run()?.iter().enumerate() {
+        println!("{:>2} {account}", index + 1);
     }
     Ok(())
 }
 
-/// The accounts in the order in which their requests were started.
+/// Returns the account of each request, in the order in which the requests were started.
 pub(crate) fn run() -> Result<Vec<AccountName>, Box<dyn Error>> {
-    let mut pair = pair()?;
+    let mut cores = connected_cores()?;
     for request in 0..20 {
-        pair.entry.submit(waiting(request, "large-contractor")?);
+        cores
+            .entry
+            .submit(queued_request(request, "large-contractor")?);
     }
     for request in 20..22 {
-        pair.entry.submit(waiting(request, "small-applicator")?);
+        cores
+            .entry
+            .submit(queued_request(request, "small-applicator")?);
     }
-    let begin = ANNOUNCED_EVERY * ANNOUNCEMENTS;
-    for turn in 0..TURNS {
-        pair.turn(begin + RUN * turn);
+    let first_request = ANNOUNCEMENT_INTERVAL * ANNOUNCEMENTS;
+    for step in 0..STEPS {
+        cores.step(first_request + RUN_TIME * step);
     }
-    Ok(pair.started)
+    Ok(cores.started)
 }
 
-fn pair() -> Result<Pair, Box<dyn Error>> {
+fn connected_cores() -> Result<Cores, Box<dyn Error>> {
     let (entry_run, sidecar_run) = (Incarnation(1), Incarnation(2));
     let domain = DomainName::new("colombo")?;
     let (entry_host, sidecar_host) = (HostName::new("entry-1")?, HostName::new("spec-llm-1")?);
@@ -73,11 +78,11 @@
         horizon: ServiceUnits(1_000_000),
     });
     for announcement in 0..=ANNOUNCEMENTS {
-        announce(&mut sidecar, ANNOUNCED_EVERY * announcement)?;
+        announce(&mut sidecar, ANNOUNCEMENT_INTERVAL * announcement)?;
     }
     sidecar.on_entry_connected(Duration::ZERO, entry_host.clone());
     entry.on_sidecar_connected(sidecar_host, sidecar_run, domain);
-    Ok(Pair {
+    Ok(Cores {
         entry,
         sidecar,
         entry_host,
@@ -88,7 +93,7 @@
 
 fn announce(sidecar: &mut SidecarCore, now: Duration) -> Result<(), Box<dyn Error>> {
     let update = UpstreamUpdate {
-        live_until: now + LONG,
+        live_until: now + LONG_TIMEOUT,
         leaving: false,
         queued: 0,
         reported: now,
@@ -101,14 +106,14 @@
     Ok(())
 }
 
-fn waiting(request: u64, account: &str) -> Result<QueuedRequest, Box<dyn Error>> {
+fn queued_request(request: u64, account: &str) -> Result<QueuedRequest, Box<dyn Error>> {
     Ok(QueuedRequest {
         request,
         attempt: 0,
         account: AccountName::new(account)?,
         pool: PoolName::new("spec-llm")?,
         arrived: Duration::ZERO,
-        deadline: LONG,
+        deadline: LONG_TIMEOUT,
         estimate: COST,
         prefix: 0,
         repeatable: true,
@@ -116,10 +121,10 @@
     })
 }
 
-impl Pair {
-    /// Ends the runs that are due, then carries messages until neither core has any.
-    fn turn(&mut self, now: Duration) {
-        while let Some((_, attempt)) = self.running.pop_front_if(|(end, _)| *end <= now) {
+impl Cores {
+    /// Finishes the requests that are due, then delivers messages until neither core has any.
+    fn step(&mut self, now: Duration) {
+        while let Some((_, attempt)) = self.running.pop_front_if(|(due, _)| *due <= now) {
             self.sidecar
                 .finish(now, attempt, COST, RunOutcome::Finished);
         }
@@ -131,21 +136,21 @@
             }
             to_entry
                 .into_iter()
-                .for_each(|action| self.at_entry(now, action));
+                .for_each(|action| self.on_sidecar_action(now, action));
             to_sidecar
                 .into_iter()
-                .for_each(|action| self.at_sidecar(now, action));
+                .for_each(|action| self.on_entry_action(now, action));
         }
     }
 
-    fn at_entry(&mut self, now: Duration, action: SidecarAction) {
+    fn on_sidecar_action(&mut self, now: Duration, action: SidecarAction) {
         if let SidecarAction::Send { message, .. } = action {
             let sidecar = HostName::new("spec-llm-1").expect("a name");
             self.entry.on_message(now, &sidecar, message);
         }
     }
 
-    fn at_sidecar(&mut self, now: Duration, action: EntryAction) {
+    fn on_entry_action(&mut self, now: Duration, action: EntryAction) {
         match action {
             EntryAction::Send { message, .. } => {
                 self.sidecar.on_message(now, &self.entry_host, message);
@@ -157,13 +162,13 @@
                 waiting,
                 ..
             } => {
-                let begin = begin(attempt, sidecar, cause, &waiting);
+                let begin = begin_message(attempt, sidecar, cause, &waiting);
                 match self.sidecar.try_start(now, &self.entry_host, &begin) {
                     Ok(_upstream) => {
-                        // The upstream answers at once: without a first piece its window shrinks.
+                        // The upstream answers at once; without a first chunk its window shrinks.
                         self.sidecar.on_first_chunk(now, attempt);
                         self.started.push(waiting.account);
-                        self.running.push_back((now + RUN, attempt));
+                        self.running.push_back((now + RUN_TIME, attempt));
                     }
                     Err(_not_started) => self.entry.requeue(waiting),
                 }
@@ -173,11 +178,11 @@
     }
 }
 
-fn begin(
+fn begin_message(
     attempt: AttemptId,
     sidecar: Incarnation,
     cause: BeginCause,
-    waiting: &QueuedRequest,
+    queued: &QueuedRequest,
 ) -> Begin {
     let call = Call {
         method: "POST".to_owned(),
@@ -190,13 +195,13 @@
     Begin {
         attempt,
         cause,
-        account: waiting.account.clone(),
-        pool: waiting.pool.clone(),
+        account: queued.account.clone(),
+        pool: queued.pool.clone(),
         sidecar,
         content: [0; 32],
-        repeatable: waiting.repeatable,
+        repeatable: queued.repeatable,
         suspected_of: vec![],
-        estimate: waiting.estimate,
+        estimate: queued.estimate,
         deadline_ms: 60_000,
         call,
     }
--- a/examples/embed_log.rs
+++ b/examples/embed_log.rs
@@ -1,9 +1,9 @@
-//! The replicated log and its state machine as a library: three members in one process, with
-//! messages carried by hand and disks that sync at once.
+//! The replicated log and its state machine as a library: three members in one process. Messages
+//! are delivered in memory, and disks sync immediately.
 //!
-//! Two operators race with the same number. The one whose command is committed first has its
-//! configuration in force; the other is told of the conflict; an operator who lost the answer and
-//! sends the same again gets the same answer.
+//! Two operators apply different configurations with the same number. The first committed command
+//! takes effect, the second receives a conflict, and a retry of the first receives the same reply
+//! as before.
 
 use std::error::Error;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Time that each round of messages takes.
+/// Duration of a round of messages.
 const ROUND: Duration = Duration::from_millis(5);
-/// Rounds after which an election and a commit are long over.
-const ROUNDS: u32 = 1_000;
+/// Maximum rounds for an election or a commit.
+const MAX_ROUNDS: u32 = 1_000;
 
-/// A member: its core, and the state machine that its log is applied to.
+/// A member with the state machine that its log is applied to.
 struct Member {
     id: MemberId,
     core: Core,
@@ -34,13 +34,13 @@
     Ok(())
 }
 
-/// The answers of the group to three commands.
+/// Returns the group's replies to three commands.
 pub(crate) fn run() -> Result<Vec<Reply>, Box<dyn Error>> {
-    let mut members = found()?;
+    let mut members = bootstrap()?;
     let commands = [apply(1, "first"), apply(1, "second"), apply(1, "first")];
     let mut now = Duration::ZERO;
     for command in commands {
-        now = carry(&mut members, now, |members| {
+        now = run_until(&mut members, now, |members| {
             members.iter().any(|m| m.core.is_leader())
         });
         let leader = members
@@ -48,19 +48,19 @@
             .find(|m| m.core.is_leader())
             .ok_or("no leader")?;
         leader.core.propose(now, command.encode())?;
-        let wanted = leader.replies.len() + 1;
-        now = carry(&mut members, now, |members| {
-            members.iter().all(|m| m.replies.len() >= wanted)
+        let expected = leader.replies.len() + 1;
+        now = run_until(&mut members, now, |members| {
+            members.iter().all(|m| m.replies.len() >= expected)
         });
     }
-    let agree = members
+    let is_consistent = members
         .windows(2)
         .all(|pair| pair[0].replies == pair[1].replies);
-    assert!(agree, "every member gives the same answers");
+    assert!(is_consistent, "all members have the same replies");
     Ok(members.swap_remove(0).replies)
 }
 
-fn found() -> Result<Vec<Member>, Box<dyn Error>> {
+fn bootstrap() -> Result<Vec<Member>, Box<dyn Error>> {
     let mut rng = StdRng::seed_from_u64(1);
     let mut ids = vec![];
     for host in ["colombo-1", "gampaha-1", "kalutara-1"] {
@@ -82,11 +82,11 @@
         replies: vec![],
     };
     let mut members: Vec<Member> = ids.iter().map(member).collect();
-    let founder = members
+    let bootstrap_member = members
         .iter_mut()
         .min_by(|a, b| a.id.cmp(&b.id))
         .ok_or("no member")?;
-    founder.core.bootstrap(Duration::ZERO, ids)?;
+    bootstrap_member.core.bootstrap(Duration::ZERO, ids)?;
     Ok(members)
 }
 
@@ -101,9 +101,14 @@
     Command { at: LogTime(0), op }
 }
 
-/// Carries messages, syncs and applies, until `done` or for [`ROUNDS`]; the time reached.
-fn carry(members: &mut [Member], mut now: Duration, done: impl Fn(&[Member]) -> bool) -> Duration {
-    for _ in 0..ROUNDS {
+/// Delivers messages, syncs and applies until `done`, for at most [`MAX_ROUNDS`]; returns the time
+/// reached.
+fn run_until(
+    members: &mut [Member],
+    mut now: Duration,
+    done: impl Fn(&[Member]) -> bool,
+) -> Duration {
+    for _ in 0..MAX_ROUNDS {
         if done(members) {
             return now;
         }
@@ -122,7 +127,7 @@
                         data: Some(data),
                         ..
                     } => {
-                        let command = Command::decode(&data).expect("this example encoded it");
+                        let command = Command::decode(&data).expect("a command encoded above");
                         member.replies.push(member.machine.apply(index.0, &command));
                     }
                     _ => {}
--- a/examples/events.rs
+++ b/examples/events.rs
@@ -1,4 +1,4 @@
-//! Prints the rows of `docs/EVENTS.md`, to be put there when an event changes.
+//! Prints the table rows of `docs/EVENTS.md`.
 
 use coltsfootnotch::util::events::CATALOGUE;
 
--- a/examples/orders.rs
+++ b/examples/orders.rs
@@ -1,5 +1,6 @@
-//! Time from `apply` of a new version until every engine has loaded it, at several limits of the
-//! weight store. Prints the rows of `docs/measurements/late-binding.md`, section "Orders".
+//! Measures the time from `apply` of a new version until every engine has loaded it, for several
+//! limits of the weight store. Prints the rows of `docs/measurements/late-binding.md`, section
+//! "Orders".
 
 use std::error::Error;
 use std::thread;
@@ -11,13 +12,13 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Engines of the fleet.
+/// Number of engines.
 const ENGINES: u32 = 8;
-/// Size of the version, in megabytes.
+/// Size of a version, in megabytes.
 const MEGABYTES: u64 = 50;
-/// Rate of the store and loads at once.
+/// Rate of the store in MB/s, and concurrent loads.
 const STORES: [(u64, u32); 5] = [(100, 1), (100, 2), (100, 4), (400, 1), (400, 4)];
-/// Time that an engine takes to load, whatever the store allows.
+/// Time that an engine takes to load a version, apart from the limits of the store.
 const ENGINE_LOAD: Duration = Duration::from_millis(100);
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -50,10 +51,10 @@
         let applied = Instant::now();
         operator.apply(&manifest, Duration::from_secs(10))?;
         wait_for_orders(&fleet, round);
-        let took = applied.elapsed().as_secs_f64();
+        let elapsed = applied.elapsed().as_secs_f64();
         let at_rate = (u64::from(ENGINES) * MEGABYTES) as f64 / megabytes_per_s as f64;
-        println!("| {megabytes_per_s} | {loads} | {at_rate:.1} | {took:.1} |");
-        // The permits of the last loads go back before the next row.
+        println!("| {megabytes_per_s} | {loads} | {at_rate:.1} | {elapsed:.1} |");
+        // Gives the last loads time to return their permits.
         thread::sleep(Duration::from_secs(3));
     }
     fleet.stop();
@@ -61,8 +62,8 @@
 }
 
 fn wait_for_orders(fleet: &Fleet, orders: u64) {
-    let has = |engine: &EngineHandle| engine.stats().orders >= orders;
-    while !fleet.engines().iter().all(has) {
+    let is_done = |engine: &EngineHandle| engine.stats().orders >= orders;
+    while !fleet.engines().iter().all(is_done) {
         thread::sleep(Duration::from_millis(10));
     }
 }
--- a/examples/slopes/backlog.rs
+++ b/examples/slopes/backlog.rs
@@ -1,5 +1,5 @@
-//! What backlogged client accounts cost: every sidecar hears which of them wait, and how much
-//! service they had elsewhere.
+//! Cost of backlogged client accounts: every sidecar receives which accounts have waiting requests,
+//! and how much service they received on other hosts.
 
 use std::net::TcpStream;
 use std::thread::sleep;
@@ -7,17 +7,17 @@
 
 use coltsfootnotch::ops::fleet::{Fleet, FleetError};
 
-use crate::caller::open;
-use crate::fleets::{CONTROL, Size, account, start};
+use crate::caller::open_stream;
+use crate::fleets::{CONTROL, Size, account_name, start};
 use crate::process::{cpu_time, resident_bytes};
 
 const ENTRIES: usize = 2;
 const SIDECARS: usize = 8;
 const SETTLE: Duration = Duration::from_secs(3);
-const WATCHED: Duration = Duration::from_secs(10);
-/// Requests of all accounts together, so that every account goes on waiting while some run.
+const MEASURE_FOR: Duration = Duration::from_secs(10);
+/// Requests of all accounts; enough that every account has waiting requests while others run.
 const REQUESTS: usize = 2_400;
-/// Tokens of each; with 20 ms between them a request runs for a second.
+/// Tokens of each request; at 20 ms per token a request takes a second.
 const TOKENS: u32 = 50;
 
 /// Prints one row for each number of backlogged accounts.
@@ -39,7 +39,7 @@
         "resident MB"
     );
     for &accounts in sizes {
-        let before = resident_bytes();
+        let resident_before = resident_bytes();
         let fleet = start(&Size {
             entries: ENTRIES,
             engines: SIDECARS,
@@ -47,9 +47,9 @@
             token: Duration::from_millis(20),
             accounts,
         })?;
-        let waiting = ask(&fleet, accounts)?;
+        let waiting = send_requests(&fleet, accounts)?;
         sleep(SETTLE);
-        row(&fleet, accounts, waiting.len(), before);
+        print_row(&fleet, accounts, waiting.len(), resident_before);
         drop(waiting);
         fleet.stop();
         sleep(SETTLE);
@@ -57,17 +57,17 @@
     Ok(())
 }
 
-fn ask(fleet: &Fleet, accounts: usize) -> Result<Vec<TcpStream>, FleetError> {
+fn send_requests(fleet: &Fleet, accounts: usize) -> Result<Vec<TcpStream>, FleetError> {
     let entries = fleet.callers();
-    let ask = |number: usize| {
-        let at = entries[number % entries.len()];
-        open(at, &account(number % accounts), number, TOKENS)
+    let send = |number: usize| {
+        let entry = entries[number % entries.len()];
+        open_stream(entry, &account_name(number % accounts), number, TOKENS)
     };
-    let sockets: std::io::Result<Vec<_>> = (0..REQUESTS).map(ask).collect();
+    let sockets: std::io::Result<Vec<_>> = (0..REQUESTS).map(send).collect();
     Ok(sockets?)
 }
 
-fn started(fleet: &Fleet) -> u64 {
+fn started_requests(fleet: &Fleet) -> u64 {
     fleet
         .engines()
         .iter()
@@ -75,22 +75,22 @@
         .sum()
 }
 
-fn row(fleet: &Fleet, accounts: usize, asked: usize, resident_before: u64) {
-    let (bytes, cpu, from) = (fleet.control_bytes_by_role(), cpu_time(), Instant::now());
-    let started_before = started(fleet);
-    sleep(WATCHED);
+fn print_row(fleet: &Fleet, accounts: usize, sent_requests: usize, resident_before: u64) {
+    let (bytes, cpu, measured_from) = (fleet.control_bytes_by_role(), cpu_time(), Instant::now());
+    let started_before = started_requests(fleet);
+    sleep(MEASURE_FOR);
     let sent = fleet.control_bytes_by_role().since(&bytes);
-    let seconds = from.elapsed().as_secs_f64();
+    let seconds = measured_from.elapsed().as_secs_f64();
     let cpu_ms = 1000.0 * (cpu_time() - cpu).as_secs_f64();
-    let started_after = started(fleet);
-    let each = |bytes: u64, hosts: usize| bytes as f64 / seconds / hosts as f64;
+    let started_after = started_requests(fleet);
+    let per_host = |bytes: u64, hosts: usize| bytes as f64 / seconds / hosts as f64;
     println!(
         "{accounts:>9} {:>9} {:>9.1} {:>11.0} {:>9.0} {:>11.0} {:>13.2} {:>11.1}",
-        asked.saturating_sub(usize::try_from(started_after).unwrap_or(usize::MAX)),
+        sent_requests.saturating_sub(usize::try_from(started_after).unwrap_or(usize::MAX)),
         (started_after - started_before) as f64 / seconds,
-        each(sent.control, CONTROL),
-        each(sent.entries, ENTRIES),
-        each(sent.sidecars, SIDECARS),
+        per_host(sent.control, CONTROL),
+        per_host(sent.entries, ENTRIES),
+        per_host(sent.sidecars, SIDECARS),
         cpu_ms / seconds / fleet.hosts() as f64,
         resident_bytes().saturating_sub(resident_before) as f64 / 1e6,
     );
--- a/examples/slopes/caller.rs
+++ b/examples/slopes/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that ask and read, or ask and leave the answer unread.
+//! Sends streamed requests and reads their answers.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,14 +7,14 @@
 use coltsfootnotch::ops::fleet::demo_key;
 use serde_json::json;
 
-/// Longest silence of an answer.
+/// Timeout of one read.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// What ends a stream.
-const LAST: &str = "data: [DONE]";
+/// Last event of a complete stream.
+const LAST_EVENT: &str = "data: [DONE]";
 
-/// Asks for a stream of `tokens` tokens and leaves the answer to the socket's buffer.
-pub(crate) fn open(
-    at: SocketAddr,
+/// Requests a stream of `tokens` tokens without reading the answer.
+pub(crate) fn open_stream(
+    address: SocketAddr,
     account: &str,
     number: usize,
     tokens: u32,
@@ -26,7 +26,7 @@
         "stream": true,
     })
     .to_string();
-    let mut socket = TcpStream::connect(at)?;
+    let mut socket = TcpStream::connect(address)?;
     socket.set_read_timeout(Some(READ_TIMEOUT))?;
     write!(
         socket,
@@ -38,8 +38,8 @@
     Ok(socket)
 }
 
-/// Reads an answer to its end; whether it was whole.
-pub(crate) fn whole(socket: TcpStream) -> bool {
+/// Reads an answer to its end; returns whether it is complete.
+pub(crate) fn read_stream(socket: TcpStream) -> bool {
     let mut lines = BufReader::new(socket).lines();
-    lines.any(|line| line.is_ok_and(|line| line.starts_with(LAST)))
+    lines.any(|line| line.is_ok_and(|line| line.starts_with(LAST_EVENT)))
 }
--- a/examples/slopes/configuration.rs
+++ b/examples/slopes/configuration.rs
@@ -1,4 +1,4 @@
-//! What a change of one account costs, and how long it takes until it is in force everywhere.
+//! Cost of a change of one account, and the time until it is in force on all hosts.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 
 const ENTRIES: usize = 2;
 const SETTLE: Duration = Duration::from_secs(3);
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 const CHANGES: u64 = 3;
 const POLL: Duration = Duration::from_millis(50);
 
@@ -37,7 +37,7 @@
         "resident MB"
     );
     for &(accounts, hosts) in sizes {
-        let before = resident_bytes();
+        let resident_before = resident_bytes();
         let fleet = start(&Size {
             entries: ENTRIES,
             engines: hosts.saturating_sub(CONTROL + ENTRIES).max(1),
@@ -46,68 +46,68 @@
             accounts,
         })?;
         sleep(SETTLE);
-        row(&fleet, accounts, before)?;
+        print_row(&fleet, accounts, resident_before)?;
         fleet.stop();
         sleep(SETTLE);
     }
     Ok(())
 }
 
-fn row(fleet: &Fleet, accounts: usize, resident_before: u64) -> Result<(), FleetError> {
+fn print_row(fleet: &Fleet, accounts: usize, resident_before: u64) -> Result<(), FleetError> {
     let operator = fleet.operator()?;
     let mut manifest = fleet.manifest().clone();
     let (mut accepted, mut in_force) = (Duration::ZERO, Duration::ZERO);
-    let mut asked = 0;
+    let mut status_bytes = 0;
     let (bytes, cpu) = (fleet.control_bytes_by_role(), cpu_time());
     for _ in 0..CHANGES {
-        change(&mut manifest);
-        let began = Instant::now();
-        operator.apply(&manifest, PATIENCE)?;
-        accepted += began.elapsed();
-        asked += wait_in_force(&operator, manifest.number)?;
-        in_force += began.elapsed();
+        change_account(&mut manifest);
+        let started = Instant::now();
+        operator.apply(&manifest, TIMEOUT)?;
+        accepted += started.elapsed();
+        status_bytes += wait_in_force(&operator, manifest.number)?;
+        in_force += started.elapsed();
     }
     let sent = fleet.control_bytes_by_role().since(&bytes);
-    let control = sent.control.saturating_sub(asked);
+    let control = sent.control.saturating_sub(status_bytes);
     let cpu = cpu_time() - cpu;
-    let each = |total: f64| total / CHANGES as f64;
+    let per_change = |total: f64| total / CHANGES as f64;
     let others = (fleet.hosts() - CONTROL) as f64;
     println!(
         "{accounts:>9} {:>6} {:>11} {:>14.0} {:>14.0} {:>10.2} {:>11.2} {:>10.2} {:>12.1}",
         fleet.hosts(),
         manifest.to_body().len(),
-        each(control as f64),
-        each(control as f64) / others,
-        each(accepted.as_secs_f64()),
-        each(in_force.as_secs_f64()),
-        each(cpu.as_secs_f64()),
+        per_change(control as f64),
+        per_change(control as f64) / others,
+        per_change(accepted.as_secs_f64()),
+        per_change(in_force.as_secs_f64()),
+        per_change(cpu.as_secs_f64()),
         resident_bytes().saturating_sub(resident_before) as f64 / 1e6,
     );
     Ok(())
 }
 
-fn change(manifest: &mut Manifest) {
+fn change_account(manifest: &mut Manifest) {
     manifest.number += 1;
     if let Some(account) = manifest.accounts.first_mut() {
         account.limits.queue -= 1;
     }
 }
 
-/// Waits until no host is behind, as the control host that answers knows it; the bytes of its answers,
-/// which would otherwise be counted as the change's.
+/// Waits until the control host reports no host with an older configuration. Returns the bytes of
+/// its status answers, which are not part of the change's cost.
 fn wait_in_force(operator: &OperatorClient, number: u64) -> Result<u64, FleetError> {
-    let mut asked = 0;
-    let until = Instant::now() + PATIENCE;
-    while Instant::now() < until {
-        let answer = operator.status(PATIENCE)?;
-        asked += answer.len() as u64;
+    let mut status_bytes = 0;
+    let deadline = Instant::now() + TIMEOUT;
+    while Instant::now() < deadline {
+        let answer = operator.status(TIMEOUT)?;
+        status_bytes += answer.len() as u64;
         let status: Value = serde_json::from_str(&answer).unwrap_or_default();
         let configuration = &status["configuration"];
-        let none_behind = configuration["behind"]
+        let is_in_force = configuration["behind"]
             .as_array()
             .is_some_and(Vec::is_empty);
-        if configuration["number"] == number && none_behind {
-            return Ok(asked);
+        if configuration["number"] == number && is_in_force {
+            return Ok(status_bytes);
         }
         sleep(POLL);
     }
--- a/examples/slopes/daemons.rs
+++ b/examples/slopes/daemons.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real daemon processes, so that each role's share is known by itself.
+//! A small fleet of daemon processes, which measures each role separately.
 
 use std::error::Error;
 use std::fs;
@@ -20,9 +20,9 @@
 use crate::process::{cpu_time_of, resident_bytes_of};
 
 const CONTROL: usize = 3;
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A daemon process; ended on drop.
+/// A daemon process, killed on drop.
 pub(crate) struct Daemon {
     child: Child,
 }
@@ -39,12 +39,12 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        let _it_may_have_ended = self.child.kill();
-        let _its_code_says_nothing = self.child.wait();
+        let _already_exited = self.child.kill();
+        let _exit_status = self.child.wait();
     }
 }
 
-/// What all daemons of each role used, summed.
+/// Sums over all daemons of each role.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ByRole {
     pub(crate) control: f64,
@@ -52,7 +52,7 @@
     pub(crate) sidecars: f64,
 }
 
-/// Three control daemons, one entry, and a sidecar for each engine. The engines run in this process.
+/// Three control daemons, one entry and a sidecar per engine. The engines run in this process.
 pub(crate) struct Daemons {
     control: Vec<Daemon>,
     entry: Daemon,
@@ -64,7 +64,7 @@
     _folder: TempDir,
 }
 
-struct Made {
+struct Setup {
     folder: PathBuf,
     authority: Authority,
     control: Vec<ControlAddress>,
@@ -73,21 +73,26 @@
 impl Daemons {
     pub(crate) fn start(engines: Vec<EngineConfig>) -> Result<Self, Box<dyn Error>> {
         let folder = TempDir::new()?;
-        let made = Made {
+        let setup = Setup {
             folder: folder.path().to_owned(),
             authority: Authority::generate()?,
             control: (0..CONTROL)
                 .map(control_address)
                 .collect::<Result<_, _>>()?,
         };
-        fs::write(made.folder.join("ca.pem"), made.authority.certificate())?;
+        fs::write(setup.folder.join("ca.pem"), setup.authority.certificate())?;
         let mut control = vec![];
-        for known in &made.control {
-            control.push(made.spawn(Role::Control, &known.host, known.address, &json!({}))?);
+        for control_host in &setup.control {
+            control.push(setup.spawn(
+                Role::Control,
+                &control_host.host,
+                control_host.address,
+                &json!({}),
+            )?);
         }
         let callers = free_tcp()?;
         let host = HostName::new("entry-1")?;
-        let entry = made.spawn(
+        let entry = setup.spawn(
             Role::Entry,
             &host,
             free_udp()?,
@@ -98,12 +103,12 @@
             let announce = free_tcp()?;
             let host = HostName::new(format!("sidecar-{}", number + 1))?;
             let listen = json!({ "announce": announce });
-            sidecars.push(made.spawn(Role::Sidecar, &host, free_udp()?, &listen)?);
+            sidecars.push(setup.spawn(Role::Sidecar, &host, free_udp()?, &listen)?);
             engine.announce = Some(AnnounceConfig::new(announce));
             handles.push(EngineHandle::start(engine)?);
         }
         let runtime = Runtime::new()?;
-        let operator = made.operator(&runtime)?;
+        let operator = setup.operator(&runtime)?;
         Ok(Self {
             control,
             entry,
@@ -116,46 +121,46 @@
         })
     }
 
-    /// Milliseconds of processor time so far.
+    /// CPU time so far, in milliseconds.
     pub(crate) fn cpu_ms(&self) -> ByRole {
         self.sum(|daemon| 1000.0 * daemon.cpu().as_secs_f64())
     }
 
-    /// Resident memory in MB.
+    /// Resident memory, in MB.
     pub(crate) fn resident_mb(&self) -> ByRole {
         self.sum(|daemon| daemon.resident() as f64 / 1e6)
     }
 
-    /// The number of daemons of each role.
+    /// Number of daemons.
     pub(crate) fn count(&self) -> ByRole {
         self.sum(|_| 1.0)
     }
 
-    fn sum(&self, of: impl Fn(&Daemon) -> f64) -> ByRole {
+    fn sum(&self, value: impl Fn(&Daemon) -> f64) -> ByRole {
         ByRole {
-            control: self.control.iter().map(&of).sum(),
-            entry: of(&self.entry),
-            sidecars: self.sidecars.iter().map(&of).sum(),
+            control: self.control.iter().map(&value).sum(),
+            entry: value(&self.entry),
+            sidecars: self.sidecars.iter().map(&value).sum(),
         }
     }
 
-    /// Waits until every daemon has the configuration in force.
+    /// Waits until the configuration is in force on every daemon.
     pub(crate) fn wait_in_force(&self, number: u64) -> Result<(), Box<dyn Error>> {
         let hosts = CONTROL + 1 + self.sidecars.len();
         for _ in 0..600 {
-            let status: Value = serde_json::from_str(&self.operator.status(PATIENCE)?)?;
+            let status: Value = serde_json::from_str(&self.operator.status(TIMEOUT)?)?;
             let listed = status["hosts"].as_array().map_or(&[][..], Vec::as_slice);
-            let there = listed.iter().filter(|host| host["config"] == number);
-            if there.count() >= hosts {
+            let up_to_date = listed.iter().filter(|host| host["config"] == number);
+            if up_to_date.count() >= hosts {
                 return Ok(());
             }
             sleep(Duration::from_millis(100));
         }
-        Err("the configuration was not in force in time".into())
+        Err("timed out waiting for the configuration to be in force".into())
     }
 }
 
-impl Made {
+impl Setup {
     fn spawn(
         &self,
         role: Role,
@@ -170,7 +175,7 @@
         fs::write(self.folder.join(format!("{host}.pem")), issued.certificate)?;
         fs::write(self.folder.join(format!("{host}.key")), issued.key)?;
         let control = self.control.iter().map(
-            |known| json!({ "host": known.host, "address": known.address, "domain": known.domain }),
+            |peer| json!({ "host": peer.host, "address": peer.address, "domain": peer.domain }),
         );
         let mut settings = json!({
             "role": role.to_string(),
@@ -215,19 +220,19 @@
             runtime.handle(),
             &credentials,
             &self.control,
-            PATIENCE,
+            TIMEOUT,
         )?)
     }
 }
 
-/// The daemon that was built beside this example.
+/// Path of the daemon in the build directory of this example.
 fn daemon_path() -> Result<PathBuf, Box<dyn Error>> {
     let example = std::env::current_exe()?;
-    let built = example
+    let build_directory = example
         .parent()
         .and_then(Path::parent)
-        .ok_or("no folder of binaries")?;
-    Ok(built.join("coltsfootnotchd"))
+        .ok_or("no build directory")?;
+    Ok(build_directory.join("coltsfootnotchd"))
 }
 
 fn control_address(number: usize) -> Result<ControlAddress, Box<dyn Error>> {
--- a/examples/slopes/fleets.rs
+++ b/examples/slopes/fleets.rs
@@ -7,14 +7,14 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Seed of what a fleet draws at random.
+/// Seed of a fleet's random numbers.
 const SEED: u64 = 7;
-/// Requests of an account that may wait at one entry; no part of what is measured.
-const QUEUE: u32 = 100_000;
-/// Control hosts of every fleet here.
+/// Queue limit of an account at one entry; never reached.
+const QUEUE_LIMIT: u32 = 100_000;
+/// Control hosts of each fleet.
 pub(crate) const CONTROL: usize = 3;
 
-/// What differs between the fleets.
+/// Size of a fleet.
 pub(crate) struct Size {
     pub(crate) entries: usize,
     pub(crate) engines: usize,
@@ -23,8 +23,8 @@
     pub(crate) accounts: usize,
 }
 
-/// The name of account `number`, as long as real ones are.
-pub(crate) fn account(number: usize) -> String {
+/// Name of account `number`, of a typical length.
+pub(crate) fn account_name(number: usize) -> String {
     format!("floor-contractor-{number:05}")
 }
 
@@ -35,10 +35,10 @@
         token: size.token,
         ..EngineConfig::new(format!("spec-llm-{number}"), "spec-llm")
     };
-    let account = |number| AccountPlan {
-        name: account(number),
+    let account_plan = |number| AccountPlan {
+        name: account_name(number),
         weight: 1,
-        queue: QUEUE,
+        queue: QUEUE_LIMIT,
         requests_per_s: None,
     };
     let plan = FleetPlan {
@@ -46,7 +46,7 @@
         entries: size.entries,
         engines: (0..size.engines).map(engine).collect(),
         services: vec![],
-        accounts: (0..size.accounts).map(account).collect(),
+        accounts: (0..size.accounts).map(account_plan).collect(),
         ..FleetPlan::demo()
     };
     Fleet::start(&plan, &mut StdRng::seed_from_u64(SEED))
--- a/examples/slopes/hosts.rs
+++ b/examples/slopes/hosts.rs
@@ -1,4 +1,4 @@
-//! What an idle fleet costs for each host.
+//! Cost per host of an idle fleet.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 
 const ENTRIES: usize = 2;
 const SETTLE: Duration = Duration::from_secs(4);
-const WATCHED: Duration = Duration::from_secs(10);
+const MEASURE_FOR: Duration = Duration::from_secs(10);
 
 /// Prints one row for each number of hosts.
 pub(crate) fn run(sizes: &[usize]) -> Result<(), FleetError> {
@@ -34,8 +34,8 @@
         "IP B/s"
     );
     for &hosts in sizes {
-        let before = resident_bytes();
-        let began = Instant::now();
+        let resident_before = resident_bytes();
+        let started = Instant::now();
         let engines = hosts.saturating_sub(CONTROL + ENTRIES).max(1);
         let fleet = start(&Size {
             entries: ENTRIES,
@@ -44,28 +44,35 @@
             token: Duration::from_millis(2),
             accounts: 16,
         })?;
-        let ready = began.elapsed();
+        let ready = started.elapsed();
         sleep(SETTLE);
-        let (bytes, cpu, from) = (fleet.control_bytes_by_role(), cpu_time(), Instant::now());
-        let net = network();
-        sleep(WATCHED);
+        let (bytes, cpu, measured_from) =
+            (fleet.control_bytes_by_role(), cpu_time(), Instant::now());
+        let network_before = network();
+        sleep(MEASURE_FOR);
         let sent = fleet.control_bytes_by_role().since(&bytes);
-        let seconds = from.elapsed().as_secs_f64();
-        let after = network();
+        let seconds = measured_from.elapsed().as_secs_f64();
+        let network_after = network();
         let cpu_ms = 1000.0 * (cpu_time() - cpu).as_secs_f64();
-        let each = |bytes: u64, hosts: usize| bytes as f64 / seconds / hosts as f64;
+        let per_host = |bytes: u64, hosts: usize| bytes as f64 / seconds / hosts as f64;
         println!(
             "{:>6} {:>11.0} {:>9.0} {:>11.0} {:>12.2} {:>12.1} {:>10.1} {:>7.1} {:>7.1} {:>9.0}",
             fleet.hosts(),
-            each(sent.control, CONTROL),
-            each(sent.entries, ENTRIES),
-            each(sent.sidecars, engines),
+            per_host(sent.control, CONTROL),
+            per_host(sent.entries, ENTRIES),
+            per_host(sent.sidecars, engines),
             cpu_ms / seconds / fleet.hosts() as f64,
-            resident_bytes().saturating_sub(before) as f64 / 1e6,
+            resident_bytes().saturating_sub(resident_before) as f64 / 1e6,
             ready.as_secs_f64(),
-            each(after.datagrams - net.datagrams, fleet.hosts()),
-            each(after.segments - net.segments, fleet.hosts()),
-            each(after.bytes - net.bytes, fleet.hosts()),
+            per_host(
+                network_after.datagrams - network_before.datagrams,
+                fleet.hosts()
+            ),
+            per_host(
+                network_after.segments - network_before.segments,
+                fleet.hosts()
+            ),
+            per_host(network_after.bytes - network_before.bytes, fleet.hosts()),
         );
         fleet.stop();
         sleep(SETTLE);
--- a/examples/slopes/main.rs
+++ b/examples/slopes/main.rs
@@ -1,11 +1,10 @@
-//! Measures how the cost of a fleet grows with its sizes, for docs/CAPACITY.md.
+//! Measures how the cost of a fleet grows with its size, for docs/CAPACITY.md.
 //!
 //! `cargo run --release --example slopes -- PART [SIZE...]`, where PART is `hosts`, `backlog`,
-//! `requests`, `entries`, `streams`, `configuration`, `accounts`, `changes`, `connections`, `open` or `roles`. The last five start real
-//! daemons, built by `cargo build --release --bins`, so that each role is measured by itself; in the
-//! others every host and stand-in of a fleet runs in this one process. All over loopback. Processor
-//! figures are user and system time, which other programs on the machine disturb less than the clock
-//! on the wall.
+//! `requests`, `entries`, `streams`, `configuration`, `accounts`, `changes`, `connections`, `open`
+//! or `roles`. The last five start daemon processes, built by `cargo build --release --bins`, and
+//! measure each role separately; in the others all hosts and stand-ins run in this process. CPU time is
+//! user and system time, which other programs affect less than elapsed time.
 
 mod backlog;
 mod caller;
@@ -36,47 +35,47 @@
 
 fn run(part: &str, sizes: &[String]) -> Result<(), Box<dyn Error>> {
     match part {
-        "hosts" => hosts::run(&numbers(sizes, &[12, 24, 48, 96]))?,
-        "backlog" => backlog::run(&numbers(sizes, &[64, 128, 256, 570]))?,
-        "requests" => requests::run(&numbers(sizes, &[1, 32, 128, 256]))?,
-        "entries" => requests::entries(&numbers(sizes, &[1, 2, 4, 8]))?,
-        "streams" => streams::run(&numbers(sizes, &[250, 500, 1000]))?,
-        "accounts" => roles::accounts(&numbers(sizes, &[100, 1000, 5700]))?,
-        "changes" => roles::changes(&numbers(sizes, &[0, 10, 30, 60]))?,
-        "connections" => roles::connections(&numbers(sizes, &[4, 16, 64, 128]))?,
+        "hosts" => hosts::run(&parse_numbers(sizes, &[12, 24, 48, 96]))?,
+        "backlog" => backlog::run(&parse_numbers(sizes, &[64, 128, 256, 570]))?,
+        "requests" => requests::run(&parse_numbers(sizes, &[1, 32, 128, 256]))?,
+        "entries" => requests::entries(&parse_numbers(sizes, &[1, 2, 4, 8]))?,
+        "streams" => streams::run(&parse_numbers(sizes, &[250, 500, 1000]))?,
+        "accounts" => roles::accounts(&parse_numbers(sizes, &[100, 1000, 5700]))?,
+        "changes" => roles::changes(&parse_numbers(sizes, &[0, 10, 30, 60]))?,
+        "connections" => roles::connections(&parse_numbers(sizes, &[4, 16, 64, 128]))?,
         "open" => roles::open_requests()?,
         "roles" => roles::requests()?,
         "configuration" => {
             let default = [(100, 12), (1000, 12), (5700, 12), (1000, 24), (1000, 48)];
-            configuration::run(&pairs(sizes, &default))?;
+            configuration::run(&parse_pairs(sizes, &default))?;
         }
         _ => {
             let parts = "hosts, backlog, requests, entries, streams, configuration, accounts, changes, connections, open or roles";
-            return Err(format!("give a part: {parts}").into());
+            return Err(format!("unknown part; expected {parts}").into());
         }
     }
     Ok(())
 }
 
-fn numbers(texts: &[String], default: &[usize]) -> Vec<usize> {
-    let given: Vec<usize> = texts.iter().filter_map(|text| text.parse().ok()).collect();
-    if given.is_empty() {
+fn parse_numbers(texts: &[String], default: &[usize]) -> Vec<usize> {
+    let parsed: Vec<usize> = texts.iter().filter_map(|text| text.parse().ok()).collect();
+    if parsed.is_empty() {
         default.to_vec()
     } else {
-        given
+        parsed
     }
 }
 
-/// Sizes as `ACCOUNTSxHOSTS`.
-fn pairs(texts: &[String], default: &[(usize, usize)]) -> Vec<(usize, usize)> {
+/// Parses sizes given as `ACCOUNTSxHOSTS`.
+fn parse_pairs(texts: &[String], default: &[(usize, usize)]) -> Vec<(usize, usize)> {
     let pair = |text: &String| {
         let (accounts, hosts) = text.split_once('x')?;
         Some((accounts.parse().ok()?, hosts.parse().ok()?))
     };
-    let given: Vec<_> = texts.iter().filter_map(pair).collect();
-    if given.is_empty() {
+    let parsed: Vec<_> = texts.iter().filter_map(pair).collect();
+    if parsed.is_empty() {
         default.to_vec()
     } else {
-        given
+        parsed
     }
 }
--- a/examples/slopes/requests.rs
+++ b/examples/slopes/requests.rs
@@ -1,4 +1,4 @@
-//! Processor time and control bytes of one request, for answers of several lengths.
+//! CPU time and control bytes per request, for several answer lengths and numbers of entries.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -6,8 +6,8 @@
 
 use coltsfootnotch::ops::fleet::{ControlBytes, Fleet, FleetError};
 
-use crate::caller::{open, whole};
-use crate::fleets::{Size, account, start};
+use crate::caller::{open_stream, read_stream};
+use crate::fleets::{Size, account_name, start};
 use crate::process::{cpu_time, network};
 
 const ENTRIES: usize = 2;
@@ -16,7 +16,7 @@
 const REQUESTS: usize = 800;
 const ACCOUNTS: usize = 16;
 const ENTRY_TOKENS: u32 = 8;
-/// A new upstream gets its whole share in ten seconds.
+/// A new upstream receives its full share after ten seconds.
 const SETTLE: Duration = Duration::from_secs(11);
 const IDLE: Duration = Duration::from_secs(6);
 
@@ -42,9 +42,9 @@
     let entries = fleet.callers();
     for &tokens in sizes {
         let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
-        let (direct, failed_direct) = cost(&engines, tokens);
+        let (direct, failed_direct) = measure_cost(&engines, tokens);
         let bytes = fleet.control_bytes();
-        let (through, failed) = cost(&entries, tokens);
+        let (through, failed) = measure_cost(&entries, tokens);
         let bytes = fleet.control_bytes() - bytes;
         println!(
             "{tokens:>7} {direct:>14.3} {through:>13.3} {:>14.3} {:>18.0} {:>7}",
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// Prints one row for each number of entries: a sidecar tells each of them of its free slots.
+/// Prints one row for each number of entries; a sidecar announces its free slots to each of them.
 pub(crate) fn entries(sizes: &[usize]) -> Result<(), FleetError> {
     println!(
         "{REQUESTS} streamed requests of {ENTRY_TOKENS} tokens by {CALLERS} callers at once, through \
@@ -77,65 +77,67 @@
             accounts: ACCOUNTS,
         })?;
         thread::sleep(SETTLE);
-        let idle = used(&fleet, || thread::sleep(IDLE));
+        let idle = measure_traffic(&fleet, || thread::sleep(IDLE));
         let mut failed = 0;
-        let busy = used(&fleet, || {
-            (_, failed) = cost(&fleet.callers(), ENTRY_TOKENS);
+        let busy = measure_traffic(&fleet, || {
+            (_, failed) = measure_cost(&fleet.callers(), ENTRY_TOKENS);
         });
-        let each = |busy_bytes: u64, idle_bytes: u64| {
+        let per_request = |busy_bytes: u64, idle_bytes: u64| {
             let idle_bytes = idle_bytes as f64 * busy.seconds / idle.seconds;
             (busy_bytes as f64 - idle_bytes) / REQUESTS as f64
         };
         println!(
             "{entries:>8} {:>11.0} {:>9.0} {:>10.0} {:>8.1} {failed:>7}",
-            each(busy.bytes.control, idle.bytes.control),
-            each(busy.bytes.entries, idle.bytes.entries),
-            each(busy.bytes.sidecars, idle.bytes.sidecars),
-            each(busy.datagrams, idle.datagrams),
+            per_request(busy.bytes.control, idle.bytes.control),
+            per_request(busy.bytes.entries, idle.bytes.entries),
+            per_request(busy.bytes.sidecars, idle.bytes.sidecars),
+            per_request(busy.datagrams, idle.datagrams),
         );
         fleet.stop();
     }
     Ok(())
 }
 
-/// What was sent while something went on.
-struct Used {
+/// Traffic during a measurement.
+struct Traffic {
     bytes: ControlBytes,
     datagrams: u64,
     seconds: f64,
 }
 
-fn used(fleet: &Fleet, work: impl FnOnce()) -> Used {
-    let (bytes, net, began) = (fleet.control_bytes_by_role(), network(), Instant::now());
+fn measure_traffic(fleet: &Fleet, work: impl FnOnce()) -> Traffic {
+    let (bytes, network_before, started) =
+        (fleet.control_bytes_by_role(), network(), Instant::now());
     work();
-    Used {
+    Traffic {
         bytes: fleet.control_bytes_by_role().since(&bytes),
-        datagrams: network().datagrams - net.datagrams,
-        seconds: began.elapsed().as_secs_f64(),
+        datagrams: network().datagrams - network_before.datagrams,
+        seconds: started.elapsed().as_secs_f64(),
     }
 }
 
-/// Milliseconds of processor time a request, and requests that were not answered whole.
-fn cost(at: &[SocketAddr], tokens: u32) -> (f64, usize) {
-    let before = cpu_time();
-    let ask = |caller: usize| {
+/// Milliseconds of CPU time per request, and the number of requests without a complete answer.
+fn measure_cost(addresses: &[SocketAddr], tokens: u32) -> (f64, usize) {
+    let cpu_before = cpu_time();
+    let run_caller = |caller: usize| {
         let numbers = (caller..REQUESTS).step_by(CALLERS);
-        let answer = |number: usize| {
-            let to = at[number % at.len()];
-            open(to, &account(number % ACCOUNTS), number, tokens).is_ok_and(whole)
+        let send = |number: usize| {
+            let address = addresses[number % addresses.len()];
+            open_stream(address, &account_name(number % ACCOUNTS), number, tokens)
+                .is_ok_and(read_stream)
         };
-        numbers.filter(|number| !answer(*number)).count()
+        numbers.filter(|number| !send(*number)).count()
     };
     let failed = thread::scope(|scope| {
-        let ask = &ask;
+        let run_caller = &run_caller;
         let callers: Vec<_> = (0..CALLERS)
-            .map(|caller| scope.spawn(move || ask(caller)))
+            .map(|caller| scope.spawn(move || run_caller(caller)))
             .collect();
         callers
             .into_iter()
             .map(|caller| caller.join().unwrap_or(REQUESTS))
             .sum()
     });
-    let cpu_ms = 1000.0 * (cpu_time() - before).as_secs_f64();
+    let cpu_ms = 1000.0 * (cpu_time() - cpu_before).as_secs_f64();
     (cpu_ms / REQUESTS as f64, failed)
 }
--- a/examples/slopes/streams.rs
+++ b/examples/slopes/streams.rs
@@ -1,4 +1,4 @@
-//! Memory of open streams.
+//! Memory per open stream.
 
 use std::net::{SocketAddr, TcpStream};
 use std::thread::{self, sleep};
@@ -6,18 +6,18 @@
 
 use coltsfootnotch::ops::fleet::{Fleet, FleetError};
 
-use crate::caller::{open, whole};
-use crate::fleets::{Size, account, start};
+use crate::caller::{open_stream, read_stream};
+use crate::fleets::{Size, account_name, start};
 use crate::process::resident_bytes;
 
 const ENTRIES: usize = 2;
 const SIDECARS: usize = 16;
 const SLOTS: u32 = 128;
 const ACCOUNTS: usize = 16;
-/// Callers and time of the warm-up, in which sidecars find out how much their engines hold.
+/// Callers and length of the warm-up, in which sidecars adapt their windows to the engines.
 const WARM_UP_CALLERS: usize = 400;
 const WARM_UP: Duration = Duration::from_secs(10);
-/// Slows tokens to one a second, so that the streams stay open and cost little processor time.
+/// Slows the engines to one token a second, so that streams stay open and take little CPU time.
 const SLOWDOWN: f64 = 500.0;
 const TOKENS: u32 = 1_000;
 /// Time for the streams to open.
@@ -46,13 +46,13 @@
             .engines()
             .iter()
             .for_each(|engine| engine.set_slowdown(SLOWDOWN));
-        let (through, running) = grown(&fleet, &fleet.callers(), streams);
+        let (through, running) = memory_growth(&fleet, &fleet.callers(), streams);
         let engines: Vec<_> = fleet
             .engines()
             .iter()
             .map(|engine| engine.address())
             .collect();
-        let (direct, _) = grown(&fleet, &engines, streams);
+        let (direct, _) = memory_growth(&fleet, &engines, streams);
         println!(
             "{streams:>8} {running:>8} {direct:>16.1} {through:>15.1} {:>13.1}",
             through - direct
@@ -64,35 +64,35 @@
 }
 
 fn warm_up(entries: &[SocketAddr]) {
-    let until = Instant::now() + WARM_UP;
+    let ends_at = Instant::now() + WARM_UP;
     thread::scope(|scope| {
         for caller in 0..WARM_UP_CALLERS {
             scope.spawn(move || {
-                let at = entries[caller % entries.len()];
-                while Instant::now() < until {
-                    let _warms_up_only =
-                        open(at, &account(caller % ACCOUNTS), caller, 8).map(whole);
+                let entry = entries[caller % entries.len()];
+                while Instant::now() < ends_at {
+                    let _answer = open_stream(entry, &account_name(caller % ACCOUNTS), caller, 8)
+                        .map(read_stream);
                 }
             });
         }
     });
 }
 
-/// Growth a stream in KB, and how many streams the engines run.
-fn grown(fleet: &Fleet, at: &[SocketAddr], streams: usize) -> (f64, u32) {
-    let before = resident_bytes();
-    let open = |number: usize| {
-        open(
-            at[number % at.len()],
-            &account(number % ACCOUNTS),
+/// Memory growth per stream in KiB, and the number of streams that the engines run.
+fn memory_growth(fleet: &Fleet, addresses: &[SocketAddr], streams: usize) -> (f64, u32) {
+    let resident_before = resident_bytes();
+    let open_one = |number: usize| {
+        open_stream(
+            addresses[number % addresses.len()],
+            &account_name(number % ACCOUNTS),
             number,
             TOKENS,
         )
         .ok()
     };
-    let sockets: Vec<TcpStream> = (0..streams).filter_map(open).collect();
+    let sockets: Vec<TcpStream> = (0..streams).filter_map(open_one).collect();
     sleep(OPENING);
-    let grown = resident_bytes().saturating_sub(before) as f64 / 1024.0;
+    let growth = resident_bytes().saturating_sub(resident_before) as f64 / 1024.0;
     let running = fleet
         .engines()
         .iter()
@@ -100,5 +100,5 @@
         .sum();
     drop(sockets);
     sleep(OPENING);
-    (grown / streams as f64, running)
+    (growth / streams as f64, running)
 }
