--- a/benches/control/commits.rs
+++ b/benches/control/commits.rs
@@ -1,7 +1,7 @@
-//! Commits a second.
+//! Commits per second.
 //!
-//! One entry keeps a number of ledger writes under way, each for a key of its own, and measures how
-//! long each takes from proposal to answer; with and without grouping of writes into entries.
+//! One entry keeps a number of ledger writes with different keys in flight and measures the latency
+//! from proposal to reply, with and without batching of writes into log entries.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,14 +17,14 @@
 use crate::client::Client;
 use crate::group::{Group, host};
 
-/// Long enough for hundreds of syncs.
+/// Length of a measurement; enough for hundreds of syncs.
 const RUN_FOR: Duration = Duration::from_secs(5);
-/// Writes under way at once.
-const UNDER_WAY: [usize; 4] = [1, 16, 128, 1024];
-/// Accounts that the keys belong to, so that no account's records run out.
+/// Numbers of concurrent writes.
+const IN_FLIGHT: [usize; 4] = [1, 16, 128, 1024];
+/// Number of accounts of the keys, so that no account reaches its limit of records.
 const ACCOUNTS: u64 = 500;
 
-/// Measures each combination and prints a row of a table for it.
+/// Measures each combination and prints a table row for it.
 pub(crate) fn run() {
     println!(
         "| asked | grouped | under way | commits/s | p50 ms | p99 ms | writes/entry | writes/sync |"
@@ -32,14 +32,14 @@
     println!("|---|---|---|---|---|---|---|---|");
     for batch_ledger in [false, true] {
         for at_leader in [true, false] {
-            for under_way in UNDER_WAY {
-                measure(batch_ledger, at_leader, under_way);
+            for in_flight in IN_FLIGHT {
+                measure(batch_ledger, at_leader, in_flight);
             }
         }
     }
 }
 
-fn measure(batch_ledger: bool, at_leader: bool, under_way: usize) {
+fn measure(batch_ledger: bool, at_leader: bool, in_flight: usize) {
     let adjust = if batch_ledger {
         |cfg: &mut coltsfootnotch::daemon::control::ControlConfig| cfg.batch_ledger = true
     } else {
@@ -47,16 +47,16 @@
     };
     let group = Group::started(adjust);
     let leader = group.wait_for_leader();
-    let at = if at_leader { leader } else { (leader + 1) % 3 };
+    let host_index = if at_leader { leader } else { (leader + 1) % 3 };
     let mut operator = group.client(leader, Role::Operator, "op");
-    let mut entry = group.client(at, Role::Entry, "e1");
+    let mut entry = group.client(host_index, Role::Entry, "e1");
     let (entries_before, syncs_before) = counts(&mut operator);
-    let latencies = keep_under_way(&mut entry, under_way);
+    let latencies = keep_in_flight(&mut entry, in_flight);
     let (entries, syncs) = counts(&mut operator);
     let commits = latencies.len() as f64;
     let ms = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
     println!(
-        "| {} | {} | {under_way} | {:.0} | {:.2} | {:.2} | {:.1} | {:.1} |",
+        "| {} | {} | {in_flight} | {:.0} | {:.2} | {:.2} | {:.1} | {:.1} |",
         if at_leader { "leader" } else { "follower" },
         if batch_ledger { "yes" } else { "no" },
         commits / RUN_FOR.as_secs_f64(),
@@ -67,21 +67,21 @@
     );
 }
 
-/// Entries committed and syncs of the leader so far.
+/// Log entries committed and syncs of the leader so far.
 fn counts(operator: &mut Client) -> (u64, u64) {
     let status = operator.status();
     let count = |name: &str| status["group"][name].as_u64().expect("a count");
     (count("commit"), count("syncs"))
 }
 
-/// Keeps `under_way` writes under way; returns the latencies in microseconds.
-fn keep_under_way(entry: &mut Client, under_way: usize) -> Histogram<u64> {
+/// Keeps `in_flight` writes in flight; returns their latencies in microseconds.
+fn keep_in_flight(entry: &mut Client, in_flight: usize) -> Histogram<u64> {
     let mut latencies = Histogram::new(3).expect("a histogram");
     let mut sent = BTreeMap::new();
     let mut number = 0;
-    let began = Instant::now();
-    while began.elapsed() < RUN_FOR {
-        while sent.len() < under_way {
+    let started = Instant::now();
+    while started.elapsed() < RUN_FOR {
+        while sent.len() < in_flight {
             number += 1;
             let id = entry.start_propose(&Op::Ledger(intent(number)));
             sent.insert(id, Instant::now());
@@ -92,8 +92,8 @@
         });
         let reply = decode_reply(&reply.expect("committed")).expect("a reply");
         assert_eq!(reply, Reply::Ledger(LedgerReply::Started));
-        let since = sent.remove(&id).expect("it was sent");
-        let micros = u64::try_from(since.elapsed().as_micros()).unwrap_or(u64::MAX);
+        let sent_at = sent.remove(&id).expect("a write in flight");
+        let micros = u64::try_from(sent_at.elapsed().as_micros()).unwrap_or(u64::MAX);
         latencies.record(micros).expect("within the range");
     }
     latencies
--- a/benches/control/main.rs
+++ b/benches/control/main.rs
@@ -1,7 +1,7 @@
-//! What a control group does on this machine: `cargo bench --bench control -- commits`, `restart`,
-//! `hosts` or `large`; all of them without a name.
+//! Benchmarks of a control group: `cargo bench --bench control -- [NAME...]`, where NAME is
+//! `commits`, `restart`, `hosts` or `large`. Without a name all of them run.
 //!
-//! Three control daemons in one process, with real files and connections over loopback.
+//! Three control daemons run in one process, with files on disk and connections over loopback.
 
 #[path = "../../tests/testsuite/control/client.rs"]
 #[expect(dead_code, reason = "the tests use the rest")]
@@ -15,17 +15,17 @@
 mod restart;
 
 fn main() {
-    let parts: [(&str, fn()); 4] = [
+    let benchmarks: [(&str, fn()); 4] = [
         ("commits", commits::run),
         ("restart", restart::run),
         ("hosts", hosts::run),
         ("large", large::run),
     ];
-    let asked: Vec<_> = std::env::args().skip(1).collect();
-    let is_asked = |name: &str| asked.iter().any(|arg| arg == name);
-    let asks_for_all = !parts.iter().any(|(name, _)| is_asked(name));
-    for (name, run) in parts {
-        if asks_for_all || is_asked(name) {
+    let names: Vec<_> = std::env::args().skip(1).collect();
+    let is_requested = |name: &str| names.iter().any(|arg| arg == name);
+    let run_all = !benchmarks.iter().any(|(name, _)| is_requested(name));
+    for (name, run) in benchmarks {
+        if run_all || is_requested(name) {
             run();
         }
     }
--- a/benches/control/restart.rs
+++ b/benches/control/restart.rs
@@ -1,4 +1,4 @@
-//! Restart time and size of the data folder after many changes.
+//! Restart time and size of the data directory after many changes.
 
 use std::fs;
 use std::path::Path;
@@ -9,12 +9,12 @@
 use crate::client::manifest;
 use crate::group::Group;
 
-/// Changes before the restart.
+/// Numbers of changes before the restart.
 const CHANGES: [u64; 2] = [500, 5_000];
-/// Accounts in each manifest, as both users have today.
+/// Accounts in each manifest.
 const ACCOUNTS: usize = 16;
 
-/// Measures each number of changes and prints a row of a table for it.
+/// Measures each number of changes and prints a table row for it.
 pub(crate) fn run() {
     println!("| changes | bytes of a body | folder bytes | entries replayed | ready again ms |");
     println!("|---|---|---|---|---|");
@@ -32,8 +32,8 @@
         operator.accept(manifest(number, &names));
     }
     group.stop(0);
-    let bytes = folder_bytes(&group.data(0));
-    let began = Instant::now();
+    let bytes = directory_bytes(&group.data(0));
+    let started = Instant::now();
     group.start(0);
     let ready = group.handles[0].as_ref().expect("it runs").readiness();
     while !ready() {
@@ -41,18 +41,18 @@
     }
     let mut operator = group.client(0, Role::Operator, "op");
     assert_eq!(operator.confirmed_number(), changes);
-    let took = began.elapsed().as_millis();
+    let restart_ms = started.elapsed().as_millis();
     let replayed = &operator.status()["group"]["commands_since_start"];
     let body = manifest(changes, &names).body.len();
-    println!("| {changes} | {body} | {bytes} | {replayed} | {took} |");
+    println!("| {changes} | {body} | {bytes} | {replayed} | {restart_ms} |");
 }
 
-fn folder_bytes(folder: &Path) -> u64 {
-    let entries = fs::read_dir(folder).expect("a folder");
+fn directory_bytes(directory: &Path) -> u64 {
+    let entries = fs::read_dir(directory).expect("a directory");
     let sizes = entries.map(|entry| {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            folder_bytes(&path)
+            directory_bytes(&path)
         } else {
             fs::metadata(&path).expect("a file").len()
         }
