--- /dev/null
+++ b/soak/src/client.rs
@@ -0,0 +1,157 @@
+//! Clients that keep connections open and check every answer.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use coltsfootnotch_platform_peers::{DEADLINE_MS, REQUEST_ID, STAMP, TOKENS};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use tokio::time::sleep;
+
+use crate::fleet::Addresses;
+use crate::operator::{HOST, Operator, STEADY_KEY};
+use crate::recorder::{Invariant, Recorder, RequestOutcome};
+use crate::upstream::{EVENTS, event_text};
+
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Range of the pause between two requests of a client, in milliseconds.
+const PAUSE_MS: (u64, u64) = (5, 60);
+
+/// A client that sends requests to the routers.
+#[derive(Clone)]
+pub struct Client {
+    /// Index of the client.
+    pub number: usize,
+    /// The fleet's addresses.
+    pub addresses: Addresses,
+    /// Number of routers.
+    pub routers: usize,
+    /// Records requests and their outcomes.
+    pub recorder: Recorder,
+    /// Issues and revokes keys.
+    pub operator: Operator,
+    /// Returns whether a graceful stop is the only current disturbance of a router.
+    pub is_planned_stop_only: Arc<dyn Fn(usize) -> bool + Send + Sync>,
+}
+
+/// The response to a request.
+struct Answer {
+    status: u16,
+    has_stamp: bool,
+    body: std::result::Result<String, String>,
+}
+
+impl Client {
+    /// Sends requests until the task is aborted. Like a client behind a load balancer it keeps using one
+    /// router until a request is cut or refused.
+    pub async fn run(self, seed: u64) {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let agent: ureq::Agent = ureq::Agent::config_builder()
+            .http_status_as_error(false)
+            .timeout_global(Some(REQUEST_TIMEOUT))
+            .max_idle_age(Duration::from_secs(12))
+            .build()
+            .into();
+        let mut router = self.number % self.routers;
+        for n in 0_u64.. {
+            let id = format!("c{}-{n}", self.number);
+            let outcome = self.request(&agent, router, &id, &mut rng).await;
+            if matches!(outcome, RequestOutcome::Cut | RequestOutcome::Refused) {
+                router = rng.random_range(0..self.routers);
+            }
+            let (from, to) = PAUSE_MS;
+            sleep(Duration::from_millis(rng.random_range(from..to))).await;
+        }
+    }
+
+    async fn request(
+        &self,
+        agent: &ureq::Agent,
+        router: usize,
+        id: &str,
+        rng: &mut StdRng,
+    ) -> RequestOutcome {
+        let kind = ["once", "read", "stream"][rng.random_range(0..3)];
+        let key = self.operator.draw_key(rng);
+        let url = format!("http://{}/{kind}/x", self.addresses.client_address(router));
+        self.recorder
+            .record_sent(id, kind != "once", key == STEADY_KEY);
+        let sent_at = self.recorder.now();
+        let (agent, request_id) = (agent.clone(), id.to_owned());
+        let bearer = format!("Bearer {key}");
+        let call = move || call(&agent, &url, &request_id, &bearer);
+        let answer = tokio::task::spawn_blocking(call).await.ok().flatten();
+        if self.operator.is_revoked(&key, sent_at) && self.recorder.has_run(id) {
+            let what = format!("{id} runs with {key}, which was revoked before it was sent");
+            self.recorder.report(Invariant::KeyRevoked, what);
+        }
+        let outcome = self.classify(id, kind, answer.as_ref());
+        if outcome == RequestOutcome::Cut
+            && (self.is_planned_stop_only)(router)
+            && self.recorder.has_run(id)
+        {
+            let took = self.recorder.now().saturating_sub(sent_at);
+            // A request close to its timeout wasn't cut by the stop.
+            if took < REQUEST_TIMEOUT * 7 / 10 {
+                let what = format!("{id} is cut by router {router} after {took:?}");
+                self.recorder.report(Invariant::GracefulStop, what);
+            }
+        }
+        self.recorder.record_outcome(id, sent_at, outcome);
+        outcome
+    }
+
+    fn classify(&self, id: &str, kind: &str, answer: Option<&Answer>) -> RequestOutcome {
+        let Some(answer) = answer else {
+            return RequestOutcome::Cut;
+        };
+        match answer.status {
+            200 => self.check_success(id, kind, answer),
+            408 | 421 | 429 | 503 => RequestOutcome::Refused,
+            _ => RequestOutcome::Failed,
+        }
+    }
+
+    fn check_success(&self, id: &str, kind: &str, answer: &Answer) -> RequestOutcome {
+        let body = match &answer.body {
+            Ok(body) => body,
+            // A truncation that the client can detect violates no invariant.
+            Err(_) => return RequestOutcome::Cut,
+        };
+        let (invariant, expected) = if kind == "stream" {
+            let events = (1..=EVENTS).map(|n| event_text(id, n)).collect();
+            (Invariant::StreamOrder, events)
+        } else {
+            (Invariant::CorrectAnswer, format!("answer to {id}"))
+        };
+        if !answer.has_stamp {
+            let what = format!("{id} gets a success without the stamp of an upstream");
+            self.recorder.report(Invariant::CorrectAnswer, what);
+        }
+        if *body != expected {
+            self.recorder
+                .report(invariant, format!("{id} gets {body:?}"));
+        }
+        RequestOutcome::Served
+    }
+}
+
+fn call(agent: &ureq::Agent, url: &str, id: &str, bearer: &str) -> Option<Answer> {
+    let req = agent
+        .post(url)
+        .header("host", HOST)
+        .header(REQUEST_ID, id)
+        .header(DEADLINE_MS, REQUEST_TIMEOUT.as_millis().to_string())
+        .header(TOKENS, "200,24")
+        .header("authorization", bearer);
+    let mut answer = req.send("a body").ok()?;
+    Some(Answer {
+        status: answer.status().as_u16(),
+        has_stamp: answer.headers().contains_key(STAMP),
+        body: answer
+            .body_mut()
+            .read_to_string()
+            .map_err(|e| e.to_string()),
+    })
+}
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's processes, their addresses and the proxies around them.
+//! The processes of the fleet, their addresses and the proxies between them.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -7,140 +7,139 @@
 
 use coltsfootnotch_platform_peers::HostText;
 
-use crate::controls::Controls;
+use crate::control_slots::ControlSlots;
 use crate::process::Process;
-use crate::proxy::{Path, Place, Rules, proxy_tcp, proxy_udp};
-use crate::schedule::Shape;
+use crate::proxy::{Endpoint, Path, Rules, proxy_tcp, proxy_udp};
+use crate::schedule::FleetSize;
 
-/// First of the ports of the processes among themselves, and those for others. Hosts differ by address.
-const FIRST_PORT: u16 = 7_400;
-const CALLERS_PORT: u16 = 8_783;
+const FIRST_PORT: u16 = 7_400; // of the transport between hosts
+const CLIENT_PORT: u16 = 8_783;
 const READINESS_PORT: u16 = 8_780;
-const OPERATORS_PORT: u16 = 8_785;
+const OPERATOR_PORT: u16 = 8_785;
 
-/// From the signal to stop until a process would be killed, in seconds.
+/// Grace period of a graceful stop, in seconds.
 pub const GRACE_S: f64 = 6.0;
-/// Within which a key that was taken away must not work any more, in milliseconds.
+/// Time within which a revoked key must stop working, in milliseconds.
 pub const REVOKE_MS: u64 = 5_000;
 
-/// Second parts of addresses: where processes bind, and where others reach them.
-const BOUND: u8 = 10;
-const REACHED: u8 = 11;
+/// Second octets of addresses: those that processes bind, and those of their proxies.
+const BIND_NET: u8 = 10;
+const PROXY_NET: u8 = 11;
 
-/// Addresses of one run; several runs can go on at once, each in a block of its own.
+/// Loopback addresses of one run. Concurrent runs use different blocks.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
     block: u8,
 }
 
 impl Addresses {
-    /// The addresses of a block.
+    /// Returns the addresses of a block.
     #[must_use]
     pub fn new(block: u8) -> Self {
         Self { block }
     }
 
-    fn ip(self, net: u8, place: Place) -> IpAddr {
-        let last = match place {
-            Place::Control(n) => 1 + n,
-            Place::Router(n) => 20 + n,
-            Place::Upstream(n) => 150 + n,
-            Place::Outside => 250,
+    fn ip(self, net: u8, endpoint: Endpoint) -> IpAddr {
+        let last = match endpoint {
+            Endpoint::Control(n) => 1 + n,
+            Endpoint::Router(n) => 20 + n,
+            Endpoint::Upstream(n) => 150 + n,
+            Endpoint::Outside => 250,
         };
         Ipv4Addr::new(127, net, self.block, last as u8).into()
     }
 
-    /// Where the process of a place binds.
+    /// Returns the address that the process of an endpoint binds.
     #[must_use]
-    pub fn bound(self, place: Place) -> IpAddr {
-        self.ip(BOUND, place)
+    pub fn bind_ip(self, endpoint: Endpoint) -> IpAddr {
+        self.ip(BIND_NET, endpoint)
     }
 
-    /// Where the others reach it: its proxy.
+    /// Returns the address of the proxy through which others reach the endpoint.
     #[must_use]
-    pub fn reached(self, place: Place) -> IpAddr {
-        self.ip(REACHED, place)
+    pub fn proxy_ip(self, endpoint: Endpoint) -> IpAddr {
+        self.ip(PROXY_NET, endpoint)
     }
 
-    /// Who binds an address.
+    /// Returns the endpoint that binds an address.
     #[must_use]
-    pub fn place_of(self, address: SocketAddr) -> Place {
+    pub fn endpoint_of(self, address: SocketAddr) -> Endpoint {
         let IpAddr::V4(ip) = address.ip() else {
-            return Place::Outside;
+            return Endpoint::Outside;
         };
         match usize::from(ip.octets()[3]) {
-            n @ 1..20 => Place::Control(n - 1),
-            n @ 20..150 => Place::Router(n - 20),
-            n @ 150..250 => Place::Upstream(n - 150),
-            _ => Place::Outside,
+            n @ 1..20 => Endpoint::Control(n - 1),
+            n @ 20..150 => Endpoint::Router(n - 20),
+            n @ 150..250 => Endpoint::Upstream(n - 150),
+            _ => Endpoint::Outside,
         }
     }
 
-    /// Where operators and upstreams call a control host.
+    /// Returns the address at which operators and upstreams call the control host in a slot.
     #[must_use]
-    pub fn operators(self, control: usize) -> SocketAddr {
-        SocketAddr::new(self.reached(Place::Control(control)), OPERATORS_PORT)
+    pub fn operator_address(self, control: usize) -> SocketAddr {
+        SocketAddr::new(self.proxy_ip(Endpoint::Control(control)), OPERATOR_PORT)
     }
 
-    /// Where clients call a router.
+    /// Returns the address at which clients call a router.
     #[must_use]
-    pub fn callers(self, router: usize) -> SocketAddr {
-        SocketAddr::new(self.reached(Place::Router(router)), CALLERS_PORT)
+    pub fn client_address(self, router: usize) -> SocketAddr {
+        SocketAddr::new(self.proxy_ip(Endpoint::Router(router)), CLIENT_PORT)
     }
 
-    /// Where the balancer asks a router; no proxy is between.
+    /// Returns the address of a router's readiness probe, which bypasses the proxy.
     #[must_use]
-    pub fn readiness(self, router: usize) -> SocketAddr {
-        SocketAddr::new(self.bound(Place::Router(router)), READINESS_PORT)
+    pub fn readiness_address(self, router: usize) -> SocketAddr {
+        SocketAddr::new(self.bind_ip(Endpoint::Router(router)), READINESS_PORT)
     }
 }
 
-/// Places for control hosts, those that replace others included.
-const CONTROL_PLACES: usize = 18;
+/// Number of address slots for control hosts, replacements included.
+const CONTROL_SLOTS: usize = 18;
 
-/// The fleet's processes.
+/// The running fleet.
 pub struct Fleet {
-    /// Their addresses.
+    /// Addresses of the processes.
     pub addresses: Addresses,
-    /// What happens on the paths.
+    /// Rules of the proxies.
     pub rules: Rules,
-    /// Where the control hosts run.
-    pub places: Controls,
+    /// Slots of the control hosts.
+    pub slots: ControlSlots,
     binary: PathBuf,
     controls: Vec<Mutex<Process>>,
     routers: Vec<Mutex<Process>>,
     folder: PathBuf,
-    shape: Shape,
+    size: FleetSize,
 }
 
 impl Fleet {
-    /// Starts the proxies and the processes of `binary`; settings, state and logs go to `folder`.
+    /// Starts the proxies and the processes of `binary`. Settings, state and logs are written to `folder`.
     ///
     /// # Errors
-    /// Returns an error when an address is taken or a program can't be started.
+    /// Returns an error when an address is in use or a process can't be started.
     pub async fn start(
         binary: &FilePath,
         folder: &FilePath,
         addresses: Addresses,
-        shape: Shape,
+        size: FleetSize,
     ) -> io::Result<Self> {
         let mut fleet = Self {
             addresses,
             rules: Rules::default(),
-            places: Controls::new(shape.controls, CONTROL_PLACES),
+            slots: ControlSlots::new(size.controls, CONTROL_SLOTS),
             binary: binary.to_owned(),
             controls: Vec::new(),
             routers: Vec::new(),
             folder: folder.to_owned(),
-            shape,
+            size,
         };
         fleet.start_proxies().await?;
-        for n in 0..shape.controls {
-            let process = fleet.start_process(Place::Control(n), "control", true)?;
+        for n in 0..size.controls {
+            let process = fleet.start_process(Endpoint::Control(n), "control", true)?;
             fleet.controls.push(Mutex::new(process));
         }
-        for n in 0..shape.routers {
-            let process = fleet.start_process(Place::Router(n), "router", true)?;
+        for n in 0..size.routers {
+            let process = fleet.start_process(Endpoint::Router(n), "router", true)?;
             fleet.routers.push(Mutex::new(process));
         }
         Ok(fleet)
@@ -148,23 +147,23 @@
 
     async fn start_proxies(&self) -> io::Result<()> {
         let addresses = self.addresses;
-        let at = |place, port| {
-            let listen = SocketAddr::new(addresses.reached(place), port);
-            (listen, SocketAddr::new(addresses.bound(place), port))
+        let at = |endpoint, port| {
+            let listen = SocketAddr::new(addresses.proxy_ip(endpoint), port);
+            (listen, SocketAddr::new(addresses.bind_ip(endpoint), port))
         };
-        for n in 0..CONTROL_PLACES {
-            let to = Place::Control(n);
+        for n in 0..CONTROL_SLOTS {
+            let to = Endpoint::Control(n);
             let (listen, target) = at(to, FIRST_PORT);
-            let place_of = move |sender| addresses.place_of(sender);
-            proxy_udp(listen, target, to, place_of, self.rules.clone()).await?;
-            let (listen, target) = at(to, OPERATORS_PORT);
-            let from = Place::Outside;
+            let endpoint_of = move |sender| addresses.endpoint_of(sender);
+            proxy_udp(listen, target, to, endpoint_of, self.rules.clone()).await?;
+            let (listen, target) = at(to, OPERATOR_PORT);
+            let from = Endpoint::Outside;
             proxy_tcp(listen, target, Path { from, to }, self.rules.clone()).await?;
         }
-        for n in 0..self.shape.routers {
-            let to = Place::Router(n);
-            let (listen, target) = at(to, CALLERS_PORT);
-            let from = Place::Outside;
+        for n in 0..self.size.routers {
+            let to = Endpoint::Router(n);
+            let (listen, target) = at(to, CLIENT_PORT);
+            let from = Endpoint::Outside;
             proxy_tcp(listen, target, Path { from, to }, self.rules.clone()).await?;
         }
         Ok(())
@@ -172,108 +171,106 @@
 
     fn start_process(
         &self,
-        place: Place,
+        endpoint: Endpoint,
         role: &'static str,
         first_start: bool,
     ) -> io::Result<Process> {
-        let settings = self.write_settings(place, first_start)?;
-        let log = self.folder.join(format!("{}.log", name_of(place)));
+        let settings = self.write_settings(endpoint, first_start)?;
+        let log = self.folder.join(format!("{}.log", name_of(endpoint)));
         Process::start(&self.binary, role, settings, log)
     }
 
-    /// Writes the settings that a place has at its next start; where they are.
-    fn write_settings(&self, place: Place, first_start: bool) -> io::Result<PathBuf> {
-        let path = self.folder.join(format!("{}.toml", name_of(place)));
-        std::fs::write(&path, self.settings(place, first_start))?;
+    fn write_settings(&self, endpoint: Endpoint, first_start: bool) -> io::Result<PathBuf> {
+        let path = self.folder.join(format!("{}.toml", name_of(endpoint)));
+        std::fs::write(&path, self.settings(endpoint, first_start))?;
         Ok(path)
     }
 
-    fn settings(&self, place: Place, first_start: bool) -> String {
-        let ip = self.addresses.bound(place);
-        let name = name_of(place);
+    fn settings(&self, endpoint: Endpoint, first_start: bool) -> String {
+        let ip = self.addresses.bind_ip(endpoint);
+        let name = name_of(endpoint);
         let data = self.folder.join(format!("{name}.data"));
-        let controls = self.places.places();
-        let seeds = controls
+        let slots = self.slots.slots();
+        let seeds = slots
             .iter()
             .take(3)
-            .map(|n| self.addresses.operators(*n));
+            .map(|n| self.addresses.operator_address(*n));
         let seeds: Vec<SocketAddr> = seeds.collect();
         let at = |port| SocketAddr::new(ip, port);
         HostText {
             name: &name,
             domain: "north",
             ip,
-            advertised_ip: self.addresses.reached(place),
+            advertised_ip: self.addresses.proxy_ip(endpoint),
             first_port: FIRST_PORT,
             seeds: &seeds,
             first_start,
-            data: matches!(place, Place::Control(_)).then_some(&*data),
-            callers: at(CALLERS_PORT),
+            data: matches!(endpoint, Endpoint::Control(_)).then_some(&*data),
+            callers: at(CLIENT_PORT),
             readiness: at(READINESS_PORT),
-            operators: at(OPERATORS_PORT),
+            operators: at(OPERATOR_PORT),
             grace_s: GRACE_S,
             revoke_ms: REVOKE_MS,
         }
         .settings()
     }
 
-    /// Control hosts.
+    /// Returns the number of control hosts.
     #[must_use]
     pub fn control_count(&self) -> usize {
-        self.shape.controls
+        self.size.controls
     }
 
-    /// A control host.
+    /// Locks the process of a control host.
     pub fn control(&self, n: usize) -> MutexGuard<'_, Process> {
         self.controls[n]
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A router.
+    /// Locks the process of a router.
     pub fn router(&self, n: usize) -> MutexGuard<'_, Process> {
         self.routers[n]
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes the next start of every control host one that is not the system's first.
+    /// Clears the first-start setting of all control hosts, so that a restart doesn't bootstrap again.
     ///
     /// # Errors
     /// Returns an error when settings can't be written.
     pub fn end_first_start(&self) -> io::Result<()> {
-        for n in 0..self.shape.controls {
-            self.write_settings(Place::Control(n), false)?;
+        for n in 0..self.size.controls {
+            self.write_settings(Endpoint::Control(n), false)?;
         }
         Ok(())
     }
 
-    /// Starts an empty control host at a new place instead of one that does not run and never will again;
-    /// the same one again where no place is left. Routers hear of it at their next start; the other control
-    /// hosts keep the seeds that they have.
+    /// Replaces a stopped control host by an empty one in an unused slot, or restarts it if no slot is left.
+    /// Routers read the new seeds at their next start; the other control hosts keep their seeds.
     ///
     /// # Errors
-    /// Returns an error when settings can't be written or the program can't be started.
-    pub fn replace(&self, control: usize) -> io::Result<()> {
-        let Some(place) = self.places.replace(control) else {
-            return self.control(control).start_again();
+    /// Returns an error when settings can't be written or the process can't be started.
+    pub fn replace_control(&self, control: usize) -> io::Result<()> {
+        let Some(slot) = self.slots.replace(control) else {
+            return self.control(control).ensure_running();
         };
-        let mut successor = self.start_process(Place::Control(place), "control", false)?;
+        let mut replacement = self.start_process(Endpoint::Control(slot), "control", false)?;
         let mut process = self.control(control);
-        successor.own_ends = process.own_ends;
-        *process = successor;
-        for n in 0..self.shape.routers {
-            self.write_settings(Place::Router(n), false)?;
+        replacement.unexpected_exits = process.unexpected_exits;
+        *process = replacement;
+        for n in 0..self.size.routers {
+            self.write_settings(Endpoint::Router(n), false)?;
         }
         Ok(())
     }
 
-    /// Takes the disk of a control host that does not run.
+    /// Removes the data folder of a stopped control host.
     ///
     /// # Errors
     /// Returns an error when the folder can't be removed.
-    pub fn wipe(&self, control: usize) -> io::Result<()> {
-        let name = name_of(Place::Control(self.places.place(control)));
+    pub fn wipe_disk(&self, control: usize) -> io::Result<()> {
+        let name = name_of(Endpoint::Control(self.slots.slot(control)));
         let data = self.folder.join(format!("{name}.data"));
         match std::fs::remove_dir_all(data) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
@@ -281,21 +278,22 @@
         }
     }
 
-    /// Processes that ended by themselves, by name.
-    pub fn own_ends(&self) -> Vec<(String, u32)> {
-        let controls =
-            (0..self.shape.controls).map(|n| (Place::Control(n), self.control(n).own_ends));
-        let routers = (0..self.shape.routers).map(|n| (Place::Router(n), self.router(n).own_ends));
-        let ended = controls.chain(routers).filter(|(_, ends)| *ends > 0);
-        ended.map(|(place, ends)| (name_of(place), ends)).collect()
+    /// Returns the processes that exited unexpectedly, with the number of exits.
+    pub fn unexpected_exits(&self) -> Vec<(String, u32)> {
+        let controls = (0..self.size.controls)
+            .map(|n| (Endpoint::Control(n), self.control(n).unexpected_exits));
+        let routers =
+            (0..self.size.routers).map(|n| (Endpoint::Router(n), self.router(n).unexpected_exits));
+        let exited = controls.chain(routers).filter(|(_, exits)| *exits > 0);
+        exited.map(|(host, exits)| (name_of(host), exits)).collect()
     }
 }
 
-fn name_of(place: Place) -> String {
-    match place {
-        Place::Control(n) => format!("control-{n}"),
-        Place::Router(n) => format!("router-{n}"),
-        Place::Upstream(n) => format!("upstream-{n}"),
-        Place::Outside => "outside".to_owned(),
+fn name_of(endpoint: Endpoint) -> String {
+    match endpoint {
+        Endpoint::Control(n) => format!("control-{n}"),
+        Endpoint::Router(n) => format!("router-{n}"),
+        Endpoint::Upstream(n) => format!("upstream-{n}"),
+        Endpoint::Outside => "outside".to_owned(),
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,31 +1,31 @@
-//! A fault soak: the real programs as separate processes, faults from outside, promises checked from
-//! what callers, upstreams and operators see.
+//! Soak test of the fleet under faults: runs the real programs as separate processes, injects faults from
+//! outside and checks invariants on what clients, upstreams and operators observe.
 //!
-//! One seed gives one schedule of faults ([`schedule`]). A run starts control hosts and routers as
-//! processes on loopback addresses of their own ([`fleet`]), stand-ins around them ([`upstream`],
-//! [`caller`], [`operator`]) and a proxy on every path between them ([`proxy`]). What everybody sees is
-//! written into one book ([`book`]), which finds the broken promises.
+//! A seed determines the schedule of faults ([`schedule`]). A run starts control hosts and routers as
+//! processes on separate loopback addresses ([`fleet`]), simulated upstreams, clients and operators
+//! ([`upstream`], [`client`], [`operator`]) and a proxy on every path between them ([`proxy`]). The
+//! [`recorder`] collects their observations and reports violated invariants.
 //!
-//! What it does not do: the programs read clocks and write files themselves, so clocks that step and
-//! disks that tear are played in the tests of the state machines, which are passed both. Here a disk is
-//! lost whole, and a stopped process stands for a machine that is suspended.
+//! Clock steps and torn writes are not covered, since the programs use the system's clock and files; the
+//! tests of the state machines simulate both. Here a disk is lost as a whole, and a paused process simulates
+//! a suspended machine.
 
-pub mod book;
-pub mod caller;
-pub mod controls;
-pub mod disturbed;
+pub mod client;
+pub mod control_slots;
+pub mod disturbances;
 pub mod fleet;
 pub mod operator;
 pub mod process;
 pub mod proxy;
+pub mod recorder;
 pub mod run;
+mod scenario;
 pub mod schedule;
-mod stage;
 pub mod upstream;
 
-/// The types that a program around the soak needs.
+/// Types for running a soak.
 pub mod prelude {
-    pub use crate::book::{Book, Finding, Promise};
+    pub use crate::recorder::{Finding, Invariant, Recorder};
     pub use crate::run::{Outcome, RunError, Soak};
-    pub use crate::schedule::{Action, Schedule, Shape, Step};
+    pub use crate::schedule::{Action, FleetSize, Schedule, Step};
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `coltsfootnotch-soak`: a fleet under faults, checked while it runs.
+//! `coltsfootnotch-soak`: runs a fleet under faults and checks its invariants.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,10 +8,10 @@
 use coltsfootnotch_soak::prelude::*;
 use coltsfootnotch_soak::run::logs_of;
 
-/// Clients for each router.
+/// Clients per router.
 const CLIENTS: usize = 6;
 
-/// What the command line asks for.
+/// Command-line options.
 #[derive(Debug, Clone)]
 struct Options {
     seed: Option<u64>,
@@ -27,15 +27,15 @@
 
 fn options() -> OptionParser<Options> {
     let seed = long("seed")
-        .help("the first seed; one is drawn without it")
+        .help("the first seed; random by default")
         .argument::<u64>("N")
         .optional();
     let seeds = long("seeds")
-        .help("so many seeds, one run each, one after the other")
+        .help("number of consecutive seeds to run")
         .argument::<u64>("N")
         .fallback(1);
     let minutes = long("minutes")
-        .help("length of a run")
+        .help("length of a run, in minutes")
         .argument::<f64>("M")
         .fallback(0.5);
     let controls = long("controls")
@@ -43,20 +43,22 @@
         .argument::<usize>("N")
         .fallback(3);
     let routers = long("processes")
-        .help("routers, each a process; at most 120")
+        .help("number of router processes; at most 120")
         .argument::<usize>("N")
         .fallback(3);
     let binary = long("binary")
-        .help("the platform's program; without it the one beside this one")
+        .help("the platform's program; by default the one in the folder of this one")
         .argument::<PathBuf>("FILE")
-        .fallback_with(beside);
+        .fallback_with(default_binary);
     let keep = long("keep")
-        .help("folder for the logs of runs that found something")
+        .help("folder for the logs of runs with findings")
         .argument::<PathBuf>("DIR")
         .optional();
-    let quiet = long("quiet").help("print no steps").switch();
+    let quiet = long("quiet")
+        .help("don't print the steps of the schedule")
+        .switch();
     let replace = long("replace")
-        .help("control hosts that lose their disk are replaced by others at new addresses")
+        .help("replace control hosts that lose their disk by new ones at other addresses")
         .switch();
     construct!(Options {
         seed,
@@ -83,47 +85,47 @@
     )
     .to_options()
     .version(env!("CARGO_PKG_VERSION"))
-    .descr("runs a fleet as processes under faults and checks its promises")
-    .footer("exits with 1 when a promise is broken, with 2 when a run can't be set up")
+    .descr("runs a fleet as separate processes under faults and checks its invariants")
+    .footer("exits with 1 when an invariant is violated, with 2 when a run fails")
 }
 
-fn beside() -> std::io::Result<PathBuf> {
+fn default_binary() -> std::io::Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name("coltsfootnotch-platform"))
 }
 
 fn main() -> ExitCode {
     let options = options().run();
     let first = options.seed.unwrap_or_else(rand::random);
-    let mut broken = false;
+    let mut violated = false;
     for seed in (0..options.seeds).map(|n| first.wrapping_add(n)) {
-        match play(&options, seed) {
-            Ok(is_kept) => broken |= !is_kept,
+        match run_seed(&options, seed) {
+            Ok(holds) => violated |= !holds,
             Err(e) => {
                 eprintln!("seed {seed}: {e}: {:?}", std::error::Error::source(&e));
                 return ExitCode::from(2);
             }
         }
     }
-    ExitCode::from(u8::from(broken))
+    ExitCode::from(u8::from(violated))
 }
 
-/// Plays one seed; whether every promise was kept.
-fn play(options: &Options, seed: u64) -> Result<bool, RunError> {
+/// Runs one seed and returns whether all invariants held.
+fn run_seed(options: &Options, seed: u64) -> Result<bool, RunError> {
     let folder = tempfile::tempdir()?;
     let soak = Soak {
         seed,
         length: Duration::from_secs_f64(options.minutes * 60.0),
-        shape: Shape {
+        size: FleetSize {
             controls: options.controls,
             routers: options.routers,
             upstreams: 6,
         },
         clients: CLIENTS,
-        replaces: options.replace,
+        replaces_hosts: options.replace,
         binary: options.binary.clone(),
         block: (std::process::id() % 250) as u8,
         folder: folder.path().to_owned(),
-        prints: !options.quiet,
+        prints_steps: !options.quiet,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: they put configurations, race each other, take keys away and read back.
+//! Operators that put and read configurations, put conflicting ones and rotate keys.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,40 +10,40 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::sleep;
 
-use crate::book::{Book, Promise};
-use crate::controls::Controls;
+use crate::control_slots::ControlSlots;
 use crate::fleet::{Addresses, REVOKE_MS};
+use crate::recorder::{Invariant, Recorder};
 
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "a.example";
-/// Services, in the turn of the upstreams.
+/// Services, assigned to the upstreams in turn.
 pub const SERVICES: [&str; 2] = ["desk", "writer"];
 /// Name of the client account whose keys change.
 const ACCOUNT: &str = "group";
-/// The key that is never taken away.
+/// The key that is never revoked.
 pub const STEADY_KEY: &str = "key-steady";
 
-/// Time for one call.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two changes.
-const CHANGE_EVERY: (u64, u64) = (200, 900);
-/// After an acknowledgement, until every control host that answers a read must know it.
+/// Range of the pause between two changes, in milliseconds.
+const CHANGE_PAUSE_MS: (u64, u64) = (200, 900);
+/// Time from an acknowledgement until every control host that answers a read must return that configuration.
 const READ_DEADLINE: Duration = Duration::from_millis(2_000);
-/// How long an acknowledged change of keys may take, with what a request in progress may take.
-const REVOKED_WITHIN: Duration = Duration::from_millis(REVOKE_MS);
+/// Time from an acknowledged key rotation until the old key must be rejected.
+const REVOCATION_BOUND: Duration = Duration::from_millis(REVOKE_MS);
 
-/// Calls to control hosts, as operators and upstreams make them: any host, the next on a failure.
+/// HTTP client of operators and upstreams for the control hosts.
 #[derive(Debug, Clone)]
-pub struct Calls {
+pub struct ControlClient {
     agent: ureq::Agent,
     addresses: Addresses,
-    controls: Controls,
+    controls: ControlSlots,
 }
 
-impl Calls {
-    /// Calls to the control hosts of a fleet.
+impl ControlClient {
+    /// Creates a client for the control hosts of a fleet.
     #[must_use]
-    pub fn new(addresses: Addresses, controls: Controls) -> Self {
+    pub fn new(addresses: Addresses, controls: ControlSlots) -> Self {
         let agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(CALL_TIMEOUT))
@@ -57,16 +57,16 @@
     }
 
     fn address(&self, control: usize) -> SocketAddr {
-        self.addresses.operators(self.controls.place(control))
+        self.addresses.operator_address(self.controls.slot(control))
     }
 
-    /// Posts to some control host; the status, zero where none came.
+    /// Posts to a random control host and returns the status, or zero if there was no response.
     pub async fn post(&self, path: &str, body: String) -> u16 {
         self.post_at(rand::random_range(0..self.controls.count()), path, body)
             .await
     }
 
-    /// Posts to one control host.
+    /// Posts to the given control host and returns the status, or zero if there was no response.
     pub async fn post_at(&self, control: usize, path: &str, body: String) -> u16 {
         let url = format!("http://{}{path}", self.address(control));
         let agent = self.agent.clone();
@@ -77,7 +77,7 @@
         tokio::task::spawn_blocking(call).await.unwrap_or(0)
     }
 
-    /// What one control host reads back.
+    /// Reads the configuration at the given control host.
     pub async fn read(&self, control: usize) -> Option<String> {
         let url = format!("http://{}{CONFIG_GET}", self.address(control));
         let agent = self.agent.clone();
@@ -92,162 +92,162 @@
 }
 
 #[derive(Debug, Default)]
-struct Desk {
+struct OperatorState {
     number: u64,
     keys: BTreeSet<String>,
-    /// Keys that were taken away, with when that was acknowledged.
+    /// Revoked keys with the time of the acknowledgement.
     revoked: BTreeMap<String, Duration>,
-    /// What was sent under each number: one text, or two that raced.
+    /// Configurations sent under each number: one, or two that conflict.
     sent: BTreeMap<u64, Vec<String>>,
-    /// Acknowledged numbers, with when.
+    /// Acknowledged numbers with the time of the acknowledgement.
     accepted: Vec<(Duration, u64)>,
 }
 
-/// The operators' desk. Clones share it.
+/// The operators of a run. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct Operator {
-    calls: Calls,
-    book: Book,
-    desk: Arc<Mutex<Desk>>,
+    control_client: ControlClient,
+    recorder: Recorder,
+    state: Arc<Mutex<OperatorState>>,
 }
 
 impl Operator {
-    /// A desk that has put nothing yet.
+    /// Creates operators that have put no configuration yet.
     #[must_use]
-    pub fn new(calls: Calls, book: Book) -> Self {
-        let desk = Desk {
+    pub fn new(control_client: ControlClient, recorder: Recorder) -> Self {
+        let state = OperatorState {
             keys: [STEADY_KEY, "key-0"].map(String::from).into(),
-            ..Desk::default()
+            ..OperatorState::default()
         };
         Self {
-            calls,
-            book,
-            desk: Arc::new(Mutex::new(desk)),
+            control_client,
+            recorder,
+            state: Arc::new(Mutex::new(state)),
         }
     }
 
-    fn desk(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, OperatorState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A key that clients may use, by lot; sometimes one that was taken away.
+    /// Draws a key for a request: mostly the steady key, sometimes any key, revoked ones included.
     #[must_use]
-    pub fn any_key(&self, rng: &mut StdRng) -> String {
-        let desk = self.desk();
-        let all: Vec<&String> = desk.keys.iter().chain(desk.revoked.keys()).collect();
+    pub fn draw_key(&self, rng: &mut StdRng) -> String {
+        let state = self.state();
+        let all: Vec<&String> = state.keys.iter().chain(state.revoked.keys()).collect();
         match rng.random_range(0..10) {
             0 => all[rng.random_range(0..all.len())].clone(),
             _ => STEADY_KEY.to_owned(),
         }
     }
 
-    /// Whether a request sent at `sent` with the key must not run any more.
+    /// Returns whether a request sent at `sent` with the key must not run.
     #[must_use]
     pub fn is_revoked(&self, key: &str, sent: Duration) -> bool {
-        let desk = self.desk();
-        let revoked = desk.revoked.get(key);
-        revoked.is_some_and(|acknowledged| sent > *acknowledged + REVOKED_WITHIN)
+        let state = self.state();
+        let revoked = state.revoked.get(key);
+        revoked.is_some_and(|acknowledged| sent > *acknowledged + REVOCATION_BOUND)
     }
 
-    /// A new number with its text.
-    fn next(&self, mark: u32) -> (u64, String) {
-        let mut desk = self.desk();
-        desk.number += 1 + u64::from(mark % 3);
-        let (number, text) = (desk.number, text(&desk, mark));
-        desk.sent.entry(number).or_default().push(text.clone());
+    /// Returns the next number and its configuration.
+    fn next_config(&self, variant: u32) -> (u64, String) {
+        let mut state = self.state();
+        state.number += 1 + u64::from(variant % 3);
+        let (number, text) = (state.number, config_body(&state, variant));
+        state.sent.entry(number).or_default().push(text.clone());
         (number, text)
     }
 
-    /// Puts a configuration until it is acknowledged.
-    pub async fn change(&self) {
-        let (number, text) = self.next(0);
+    /// Puts the next configuration, retrying until it is acknowledged.
+    pub async fn put_next(&self) {
+        let (number, text) = self.next_config(0);
         self.put(number, text).await;
     }
 
     async fn put(&self, number: u64, text: String) {
-        // Every control host may be down for seconds; the order is sent again until one answers.
+        // All control hosts may be down for seconds; retry until one answers.
         loop {
-            match self.calls.post(CONFIG_PUT, text.clone()).await {
-                200 => return self.acknowledged(number),
+            match self.control_client.post(CONFIG_PUT, text.clone()).await {
+                200 => return self.on_acknowledged(number),
                 status @ (400 | 409 | 412 | 413 | 422) => {
-                    let what = format!("number {number}, which is valid, is refused with {status}");
-                    return self.book.find(Promise::ConfigKept, what);
+                    let what = format!("valid configuration {number} is refused with {status}");
+                    return self.recorder.report(Invariant::ConfigMonotonic, what);
                 }
                 _ => sleep(Duration::from_millis(150)).await,
             }
         }
     }
 
-    fn acknowledged(&self, number: u64) {
-        self.book.accepted();
-        let now = self.book.now();
-        self.desk().accepted.push((now, number));
+    fn on_acknowledged(&self, number: u64) {
+        self.recorder.record_accepted();
+        let now = self.recorder.now();
+        self.state().accepted.push((now, number));
     }
 
-    /// Two operators put different texts under one number, at once.
-    pub async fn race(&self) {
-        let (number, one) = self.next(0);
+    /// Puts two different configurations with the same number concurrently.
+    pub async fn put_conflicting(&self) {
+        let (number, one) = self.next_config(0);
         let other = {
-            let mut desk = self.desk();
-            let other = text(&desk, 1);
-            desk.sent.entry(number).or_default().push(other.clone());
+            let mut state = self.state();
+            let other = config_body(&state, 1);
+            state.sent.entry(number).or_default().push(other.clone());
             other
         };
         tokio::join!(self.put(number, one), self.put(number, other));
     }
 
-    /// Takes a key away and gives another.
-    pub async fn revoke(&self) {
-        let gone = {
-            let mut desk = self.desk();
-            let gone = desk.keys.iter().find(|key| *key != STEADY_KEY).cloned();
-            let fresh = format!("key-{}", desk.number);
-            desk.keys.insert(fresh);
-            gone.inspect(|key| {
-                desk.keys.remove(key);
+    /// Revokes a key and adds a new one.
+    pub async fn rotate_key(&self) {
+        let old = {
+            let mut state = self.state();
+            let old = state.keys.iter().find(|key| *key != STEADY_KEY).cloned();
+            let new = format!("key-{}", state.number);
+            state.keys.insert(new);
+            old.inspect(|key| {
+                state.keys.remove(key);
             })
         };
-        self.change().await;
-        if let Some(key) = gone {
-            let now = self.book.now();
-            self.desk().revoked.insert(key, now);
+        self.put_next().await;
+        if let Some(key) = old {
+            let now = self.recorder.now();
+            self.state().revoked.insert(key, now);
         }
     }
 
-    /// Changes the configuration and reads it back again and again.
-    pub async fn work(self, seed: u64) {
+    /// Changes and reads the configuration until the task is aborted.
+    pub async fn run(self, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         loop {
-            self.change().await;
-            self.read_back(rng.random_range(0..self.calls.controls.count()))
+            self.put_next().await;
+            self.read_back(rng.random_range(0..self.control_client.controls.count()))
                 .await;
-            let (from, to) = CHANGE_EVERY;
+            let (from, to) = CHANGE_PAUSE_MS;
             sleep(Duration::from_millis(rng.random_range(from..to))).await;
         }
     }
 
-    /// Reads back at one control host, and judges what it says; whether it said anything.
+    /// Reads the configuration at one control host and checks it; returns whether the host answered.
     pub async fn read_back(&self, control: usize) -> bool {
-        let asked = self.book.now();
-        let Some(body) = self.calls.read(control).await else {
+        let requested_at = self.recorder.now();
+        let Some(body) = self.control_client.read(control).await else {
             return false;
         };
-        self.book.read_back();
-        let desk = self.desk();
-        let due = asked.saturating_sub(READ_DEADLINE);
-        let accepted = desk.accepted.iter().filter(|(at, _)| *at <= due);
+        self.recorder.record_read_back();
+        let state = self.state();
+        let due = requested_at.saturating_sub(READ_DEADLINE);
+        let accepted = state.accepted.iter().filter(|(at, _)| *at <= due);
         let newest = accepted.map(|(_, number)| *number).max().unwrap_or(0);
-        let found = desk.sent.iter().find(|(_, texts)| texts.contains(&body));
+        let found = state.sent.iter().find(|(_, texts)| texts.contains(&body));
         let number = found.map(|(number, _)| *number);
-        drop(desk);
+        drop(state);
         match number {
-            None => self.book.find(
-                Promise::ConfigKept,
-                format!("control {control} reads back what nobody sent"),
+            None => self.recorder.report(
+                Invariant::ConfigMonotonic,
+                format!("control {control} returns a configuration that no operator sent"),
             ),
-            Some(number) if number < newest => self.book.find(
-                Promise::ConfigKept,
-                format!("control {control} reads back {number}, {newest} was accepted before"),
+            Some(number) if number < newest => self.recorder.report(
+                Invariant::ConfigMonotonic,
+                format!("control {control} returns configuration {number}, but {newest} was accepted before"),
             ),
             Some(_) => {}
         }
@@ -255,7 +255,7 @@
     }
 }
 
-fn text(desk: &Desk, mark: u32) -> String {
+fn config_body(state: &OperatorState, variant: u32) -> String {
     let route = |name, prefix, kind, resumable, service, attempts| RouteText {
         name,
         prefix,
@@ -271,13 +271,13 @@
         route("read", "/read/", "safe", false, plain, 2),
         route("stream", "/stream/", "streaming", true, engine, 3),
     ];
-    if mark > 0 {
-        // What tells two texts under one number apart.
+    if variant > 0 {
+        // Makes the two configurations with one number differ.
         routes.push(route("other", "/other/", "safe", false, plain, 1));
     }
-    let keys = desk.keys.iter().cloned().collect();
+    let keys = state.keys.iter().cloned().collect();
     ConfigText {
-        number: desk.number,
+        number: state.number,
         host: HOST,
         routes: &routes,
         plain: &[plain],
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One program as a process of its own, and signals to it.
+//! Child processes and the signals sent to them.
 
 use std::fs::File;
 use std::io;
@@ -10,10 +10,10 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::time::sleep;
 
-/// Between two looks whether a process has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Polling interval of [`wait_until`].
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One program as a process of its own; killed when dropped.
+/// A child process that is killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     binary: PathBuf,
@@ -21,16 +21,16 @@
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
-    /// How often it ended by itself, other than after a signal to stop.
-    pub own_ends: u32,
-    is_told_to_stop: bool,
+    /// Number of exits without a preceding kill or stop signal.
+    pub unexpected_exits: u32,
+    is_stop_requested: bool,
 }
 
 impl Process {
-    /// Starts a role of the platform's program with a settings file; its lines go to `log`.
+    /// Starts a role of the platform's program with a settings file; its output is appended to `log`.
     ///
     /// # Errors
-    /// Returns an error when it can't be started.
+    /// Returns an error when the process can't be started.
     pub fn start(
         binary: &Path,
         role: &'static str,
@@ -43,19 +43,19 @@
             settings,
             log,
             child: None,
-            own_ends: 0,
-            is_told_to_stop: false,
+            unexpected_exits: 0,
+            is_stop_requested: false,
         };
-        process.start_again()?;
+        process.ensure_running()?;
         Ok(process)
     }
 
-    /// Starts it again, if it does not run.
+    /// Starts the process if it isn't running.
     ///
     /// # Errors
-    /// Returns an error when it can't be started.
-    pub fn start_again(&mut self) -> io::Result<()> {
-        self.look()?;
+    /// Returns an error when the process can't be started.
+    pub fn ensure_running(&mut self) -> io::Result<()> {
+        self.reap()?;
         if self.child.is_some() {
             return Ok(());
         }
@@ -68,23 +68,23 @@
             .stdout(log)
             .spawn()?;
         self.child = Some(child);
-        self.is_told_to_stop = false;
+        self.is_stop_requested = false;
         Ok(())
     }
 
-    /// Whether it runs.
+    /// Returns whether the process is running.
     ///
     /// # Errors
-    /// Returns an error when the system does not say.
+    /// Returns an error when the system doesn't report the status.
     pub fn is_running(&mut self) -> io::Result<bool> {
-        self.look()?;
+        self.reap()?;
         Ok(self.child.is_some())
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it has exited.
     ///
     /// # Errors
-    /// Returns an error when the system refuses.
+    /// Returns an error when the signal can't be sent.
     pub fn kill(&mut self) -> io::Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -93,33 +93,33 @@
         Ok(())
     }
 
-    /// Lets it stand still, or go on.
+    /// Pauses or resumes the process.
     ///
     /// # Errors
-    /// Returns an error when the system refuses.
-    pub fn pause(&mut self, still: bool) -> io::Result<()> {
-        self.signal(if still { Signal::STOP } else { Signal::CONT })
+    /// Returns an error when the signal can't be sent.
+    pub fn set_paused(&mut self, paused: bool) -> io::Result<()> {
+        self.signal(if paused { Signal::STOP } else { Signal::CONT })
     }
 
-    /// Tells it that its settings changed.
+    /// Sends the signal to reload settings.
     ///
     /// # Errors
-    /// Returns an error when the system refuses.
-    pub fn hang_up(&mut self) -> io::Result<()> {
+    /// Returns an error when the signal can't be sent.
+    pub fn reload(&mut self) -> io::Result<()> {
         self.signal(Signal::HUP)
     }
 
-    /// Tells it to stop.
+    /// Sends the signal to stop gracefully.
     ///
     /// # Errors
-    /// Returns an error when the system refuses.
-    pub fn tell_to_stop(&mut self) -> io::Result<()> {
-        self.is_told_to_stop = true;
+    /// Returns an error when the signal can't be sent.
+    pub fn request_stop(&mut self) -> io::Result<()> {
+        self.is_stop_requested = true;
         self.signal(Signal::TERM)
     }
 
     fn signal(&mut self, signal: Signal) -> io::Result<()> {
-        self.look()?;
+        self.reap()?;
         let Some(child) = &self.child else {
             return Ok(());
         };
@@ -129,14 +129,14 @@
         Ok(())
     }
 
-    /// Notes whether it has ended meanwhile.
-    fn look(&mut self) -> io::Result<()> {
+    /// Reaps the process if it has exited.
+    fn reap(&mut self) -> io::Result<()> {
         let Some(child) = &mut self.child else {
             return Ok(());
         };
         if child.try_wait()?.is_some() {
             self.child = None;
-            self.own_ends += u32::from(!self.is_told_to_stop);
+            self.unexpected_exits += u32::from(!self.is_stop_requested);
         }
         Ok(())
     }
@@ -145,19 +145,19 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Err(e) = self.kill() {
-            eprintln!("a process can't be ended: {e}");
+            eprintln!("failed to kill a process: {e}");
         }
     }
 }
 
-/// Waits until `is_so` says so, for at most `within`; whether it did.
-pub async fn wait_until(within: Duration, mut is_so: impl FnMut() -> bool) -> bool {
+/// Waits until the condition holds, for at most `within`; returns whether it did.
+pub async fn wait_until(within: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let end = tokio::time::Instant::now() + within;
-    while !is_so() {
+    while !condition() {
         if tokio::time::Instant::now() >= end {
             return false;
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
     true
 }
--- a/soak/src/proxy/mod.rs
+++ b/soak/src/proxy/mod.rs
@@ -1,9 +1,9 @@
-//! A proxy on each path, which delays, resets, cuts one way or silences.
+//! Proxies that delay, drop or reset the traffic on each path.
 
-mod rule;
+mod rules;
 mod tcp;
 mod udp;
 
-pub use rule::{Path, Place, Rule, Rules};
+pub use rules::{Endpoint, Path, Rule, Rules};
 pub use tcp::proxy_tcp;
 pub use udp::proxy_udp;
--- a/soak/src/proxy/tcp.rs
+++ b/soak/src/proxy/tcp.rs
@@ -1,4 +1,4 @@
-//! A proxy of connections.
+//! TCP proxy.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,11 +12,11 @@
 
 use super::{Path, Rule, Rules};
 
-/// Between two looks at the rule of a path that passes nothing.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-const BUFFER: usize = 16 * 1024;
+/// Polling interval for the rule of a path that drops traffic.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const BUFFER_SIZE: usize = 16 * 1024;
 
-/// Passes connections on to `target` by the rule of `path`, until the task is aborted.
+/// Forwards connections to `target` by the rule of `path` until the runtime shuts down.
 ///
 /// # Errors
 /// Returns an error when `listen` can't be bound.
@@ -29,58 +29,62 @@
     let listener = TcpListener::bind(listen).await?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(pass_on(stream, target, path, rules.clone()));
+            tokio::spawn(forward_connection(stream, target, path, rules.clone()));
         }
     });
     Ok(())
 }
 
-async fn pass_on(near: TcpStream, target: SocketAddr, path: Path, rules: Rules) {
-    while rules.get(path).passes(true).is_none() {
+async fn forward_connection(client: TcpStream, target: SocketAddr, path: Path, rules: Rules) {
+    while rules.get(path).delay(true).is_none() {
         if rules.get(path) == Rule::Reset {
-            return reset(&near);
+            return reset(&client);
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
-        return reset(&near);
+    let Ok(server) = TcpStream::connect(target).await else {
+        return reset(&client);
     };
-    if near.set_nodelay(true).and(far.set_nodelay(true)).is_err() {
-        return reset(&near);
+    if client
+        .set_nodelay(true)
+        .and(server.set_nodelay(true))
+        .is_err()
+    {
+        return reset(&client);
     }
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = copy(near_read, far_write, path, true, &rules);
-    let back = copy(far_read, near_write, path, false, &rules);
-    // Either way's end is passed on by `copy`; the connection is over when both have ended.
-    tokio::join!(there, back);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let forward = copy(client_read, server_write, path, true, &rules);
+    let backward = copy(server_read, client_write, path, false, &rules);
+    // `copy` propagates the end of its direction; the connection is closed once both have ended.
+    tokio::join!(forward, backward);
 }
 
-/// Copies one way until its end, which it passes on as it was: an end as an end, a reset as a reset.
+/// Copies one direction and propagates how it ends: end of file as a shutdown, an error as a reset.
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     path: Path,
-    there: bool,
+    forward: bool,
     rules: &Rules,
 ) {
-    let mut buf = vec![0; BUFFER];
+    let mut buf = vec![0; BUFFER_SIZE];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buf) => read,
-            () = until_reset(path, rules) => return reset(to.as_ref()),
+            () = wait_for_reset(path, rules) => return reset(to.as_ref()),
         };
         let n = match read {
             Ok(n) => n,
             Err(_) => return reset(to.as_ref()),
         };
-        match wait_until_it_passes(path, there, rules).await {
-            Some(late) => sleep(late).await,
+        match wait_until_forwarded(path, forward, rules).await {
+            Some(delay) => sleep(delay).await,
             None => return reset(to.as_ref()),
         }
         if n == 0 {
-            // The other side may have gone before; then nobody is left to be told.
-            let _told = to.shutdown().await;
+            // Fails if the other side has already closed the connection.
+            let _ignored = to.shutdown().await;
             return;
         }
         if to.write_all(&buf[..n]).await.is_err() {
@@ -89,27 +93,27 @@
     }
 }
 
-/// By how much bytes are late once they pass; none when the connection is to be reset.
-async fn wait_until_it_passes(path: Path, there: bool, rules: &Rules) -> Option<Duration> {
+/// Waits until the rule forwards traffic and returns its delay, or `None` if the connection is to be reset.
+async fn wait_until_forwarded(path: Path, forward: bool, rules: &Rules) -> Option<Duration> {
     loop {
         let rule = rules.get(path);
         if rule == Rule::Reset {
             return None;
         }
-        if let Some(late) = rule.passes(there) {
-            return Some(late);
+        if let Some(delay) = rule.delay(forward) {
+            return Some(delay);
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn until_reset(path: Path, rules: &Rules) {
+async fn wait_for_reset(path: Path, rules: &Rules) {
     while rules.get(path) != Rule::Reset {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 fn reset(stream: &TcpStream) {
-    // With no time to linger, the close that follows is a reset. A socket that is gone needs none.
-    let _set = SockRef::from(stream).set_linger(Some(Duration::ZERO));
+    // A zero linger time makes the following close a reset. This fails only on a closed socket.
+    let _ignored = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/soak/src/proxy/udp.rs
+++ b/soak/src/proxy/udp.rs
@@ -1,4 +1,4 @@
-//! A proxy of datagrams, which tells senders apart by their address.
+//! UDP proxy, with one socket per sender.
 
 use std::collections::HashMap;
 use std::io;
@@ -8,54 +8,60 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-use super::{Path, Place, Rules};
+use super::{Endpoint, Path, Rules};
 
-/// Longest datagram of the fleet's transport, with room.
-const LONGEST: usize = 4 * 1024;
+/// Buffer size in bytes, above the longest datagram of the fleet's transport.
+const BUFFER_SIZE: usize = 4 * 1024;
 
-/// Passes datagrams on to `target` by the rule of the path from their sender, until the task is aborted.
-/// `place_of` tells who has an address.
+/// Forwards datagrams to `target` by the rule of the path from their sender until the runtime shuts down.
+/// `endpoint_of` maps the sender's address to its endpoint.
 ///
 /// # Errors
 /// Returns an error when `listen` can't be bound.
 pub async fn proxy_udp(
     listen: SocketAddr,
     target: SocketAddr,
-    to: Place,
-    place_of: impl Fn(SocketAddr) -> Place + Send + 'static,
+    to: Endpoint,
+    endpoint_of: impl Fn(SocketAddr) -> Endpoint + Send + 'static,
     rules: Rules,
 ) -> io::Result<()> {
-    let near = Arc::new(UdpSocket::bind(listen).await?);
+    let listener = Arc::new(UdpSocket::bind(listen).await?);
     tokio::spawn(async move {
         let mut by_sender: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
-        let mut buf = vec![0; LONGEST];
+        let mut buf = vec![0; BUFFER_SIZE];
         loop {
-            // An error here is that of an earlier datagram whose receiver was not there.
-            let Ok((n, sender)) = near.recv_from(&mut buf).await else {
+            // The error of an earlier datagram that had no receiver (ICMP port unreachable).
+            let Ok((n, sender)) = listener.recv_from(&mut buf).await else {
                 continue;
             };
             let path = Path {
-                from: place_of(sender),
+                from: endpoint_of(sender),
                 to,
             };
-            let far = match by_sender.get(&sender) {
-                Some(far) => Arc::clone(far),
+            let server = match by_sender.get(&sender) {
+                Some(server) => Arc::clone(server),
                 None => {
-                    let Ok(far) = connect(target).await else {
+                    let Ok(server) = connect(target).await else {
                         continue;
                     };
-                    by_sender.insert(sender, Arc::clone(&far));
-                    let (near, far) = (Arc::clone(&near), Arc::clone(&far));
-                    tokio::spawn(answer(near, far, sender, path, rules.clone()));
+                    by_sender.insert(sender, Arc::clone(&server));
+                    let (listener, server) = (Arc::clone(&listener), Arc::clone(&server));
+                    tokio::spawn(forward_answers(
+                        listener,
+                        server,
+                        sender,
+                        path,
+                        rules.clone(),
+                    ));
                     by_sender[&sender].clone()
                 }
             };
-            if let Some(late) = rules.get(path).passes(true) {
+            if let Some(delay) = rules.get(path).delay(true) {
                 let datagram = buf[..n].to_vec();
                 tokio::spawn(async move {
-                    sleep(late).await;
-                    // Lost like any datagram where nobody is there.
-                    let _sent = far.send(&datagram).await;
+                    sleep(delay).await;
+                    // Without a receiver the datagram is lost.
+                    let _ignored = server.send(&datagram).await;
                 });
             }
         }
@@ -64,28 +70,28 @@
 }
 
 async fn connect(target: SocketAddr) -> io::Result<Arc<UdpSocket>> {
-    let far = UdpSocket::bind((target.ip(), 0)).await?;
-    far.connect(target).await?;
-    Ok(Arc::new(far))
+    let server = UdpSocket::bind((target.ip(), 0)).await?;
+    server.connect(target).await?;
+    Ok(Arc::new(server))
 }
 
-async fn answer(
-    near: Arc<UdpSocket>,
-    far: Arc<UdpSocket>,
+async fn forward_answers(
+    listener: Arc<UdpSocket>,
+    server: Arc<UdpSocket>,
     sender: SocketAddr,
     path: Path,
     rules: Rules,
 ) {
-    let mut buf = vec![0; LONGEST];
+    let mut buf = vec![0; BUFFER_SIZE];
     loop {
-        let Ok(n) = far.recv(&mut buf).await else {
+        let Ok(n) = server.recv(&mut buf).await else {
             continue;
         };
-        if let Some(late) = rules.get(path).passes(false) {
-            let (near, datagram) = (Arc::clone(&near), buf[..n].to_vec());
+        if let Some(delay) = rules.get(path).delay(false) {
+            let (listener, datagram) = (Arc::clone(&listener), buf[..n].to_vec());
             tokio::spawn(async move {
-                sleep(late).await;
-                let _sent = near.send_to(&datagram, sender).await;
+                sleep(delay).await;
+                let _ignored = listener.send_to(&datagram, sender).await;
             });
         }
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a fleet, stand-ins, a schedule and its verdict.
+//! Runs a schedule against a fleet and evaluates the result.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,195 +11,196 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::book::{Book, Counts, Finding};
-use crate::caller::Client;
-use crate::disturbed::Disturbed;
+use crate::client::Client;
+use crate::disturbances::Disturbances;
 use crate::fleet::{Addresses, Fleet};
-use crate::operator::{Calls, Operator, SERVICES};
+use crate::operator::{ControlClient, Operator, SERVICES};
 use crate::process::wait_until;
-use crate::proxy::{Path, Place};
-use crate::schedule::{Schedule, Shape};
-use crate::stage::Stage;
+use crate::proxy::{Endpoint, Path};
+use crate::recorder::{Counts, Finding, Recorder};
+use crate::scenario::Scenario;
+use crate::schedule::{FleetSize, Schedule};
 use crate::upstream::Upstream;
 
-/// Longest time for a fleet to be ready.
-const READY_WITHIN: Duration = Duration::from_secs(20);
-/// Part of the run at its end in which requests are to be served.
-const SERVED_IN_THE_LAST: Duration = Duration::from_secs(4);
-/// Where the addresses of upstreams begin in their place's ports.
+/// Time limit for the fleet to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Final part of the run, in which requests must be served again.
+const RECOVERY_WINDOW: Duration = Duration::from_secs(4);
+/// Port of all upstreams.
 const UPSTREAM_PORT: u16 = 9_000;
 
-/// Why a run can't be made.
+/// Errors that prevent or end a run.
 #[derive(Debug, Display, Error, From)]
 pub enum RunError {
-    /// A process, address or file can't be had.
-    #[display("the run can't be set up")]
+    /// A process, socket or file operation failed.
+    #[display("the run failed")]
     Io(io::Error),
     /// The fleet did not become ready.
-    #[display("the fleet was not ready within {READY_WITHIN:?}")]
+    #[display("the fleet was not ready within {READY_TIMEOUT:?}")]
     #[from(skip)]
     NotReady,
-    /// It was told to stop.
-    #[display("the run was told to stop")]
+    /// The run was stopped by a signal.
+    #[display("the run was stopped by a signal")]
     #[from(skip)]
     Stopped,
 }
 
-/// A run to be made.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Soak {
-    /// Gives the schedule.
+    /// Seed of the schedule and of the clients and operators.
     pub seed: u64,
-    /// How long it lasts, once the fleet is ready.
+    /// Length of the run once the fleet is ready.
     pub length: Duration,
-    /// How many of everything there are.
-    pub shape: Shape,
-    /// Clients for each router.
+    /// Number of hosts and upstreams.
+    pub size: FleetSize,
+    /// Clients per router.
     pub clients: usize,
-    /// Whether a control host that loses its disk is gone for good, and an empty one comes at another
-    /// address.
-    pub replaces: bool,
+    /// Whether a control host that loses its disk is replaced by an empty one at another address.
+    pub replaces_hosts: bool,
     /// The platform's program.
     pub binary: PathBuf,
-    /// Block of loopback addresses; two runs at once need two.
+    /// Block of loopback addresses; concurrent runs need different blocks.
     pub block: u8,
     /// Folder for settings, state and logs; it must be empty.
     pub folder: PathBuf,
-    /// Whether each step is printed as it begins.
-    pub prints: bool,
+    /// Whether to print each step when it starts.
+    pub prints_steps: bool,
 }
 
-/// What a run found.
+/// The result of a run.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Broken promises, by time.
+    /// Violated invariants, by time.
     pub findings: Vec<Finding>,
-    /// What was seen.
+    /// Counts of requests and configurations.
     pub counts: Counts,
-    /// Share of requests served at the end.
+    /// Share of requests served after the last fault.
     pub recovered: f64,
-    /// Steps that were played.
+    /// Number of steps in the schedule.
     pub steps: usize,
 }
 
 impl Soak {
-    /// Makes the run. Told to stop by a signal it ends every process that it started.
+    /// Performs the run. On SIGTERM or SIGINT it kills every process that it started.
     ///
     /// # Errors
-    /// Returns an error when it can't be set up, or is told to stop.
+    /// Returns an error when the run can't be set up or is stopped by a signal.
     pub async fn run(&self) -> Result<Outcome, RunError> {
         let mut terminate = signal(SignalKind::terminate())?;
         tokio::select! {
-            outcome = self.play() => outcome,
+            outcome = self.run_schedule() => outcome,
             _ = terminate.recv() => Err(RunError::Stopped),
             _ = tokio::signal::ctrl_c() => Err(RunError::Stopped),
         }
     }
 
-    async fn play(&self) -> Result<Outcome, RunError> {
-        let schedule = Schedule::draw(self.seed, self.length, self.shape);
+    async fn run_schedule(&self) -> Result<Outcome, RunError> {
+        let schedule = Schedule::draw(self.seed, self.length, self.size);
         let addresses = Addresses::new(self.block);
-        let fleet = Fleet::start(&self.binary, &self.folder, addresses, self.shape).await?;
-        let stage = Arc::new(self.stage(fleet).await?);
-        self.wait_until_ready(&stage).await?;
-        let mut tasks = self.start_callers(&stage);
-        let began = stage.book.now();
+        let fleet = Fleet::start(&self.binary, &self.folder, addresses, self.size).await?;
+        let scenario = Arc::new(self.start_scenario(fleet).await?);
+        self.wait_until_ready(&scenario).await?;
+        let mut tasks = self.start_clients(&scenario);
+        let started = scenario.recorder.now();
         for step in &schedule.steps {
-            sleep((began + step.at).saturating_sub(stage.book.now())).await;
-            if self.prints {
+            sleep((started + step.at).saturating_sub(scenario.recorder.now())).await;
+            if self.prints_steps {
                 println!("{step}");
             }
-            let (stage, step) = (Arc::clone(&stage), *step);
-            tasks.spawn(async move { stage.play(step).await });
+            let (scenario, step) = (Arc::clone(&scenario), *step);
+            tasks.spawn(async move { scenario.run_step(step).await });
         }
-        sleep((began + schedule.length).saturating_sub(stage.book.now())).await;
-        stage.read_back_at_last(self.shape.controls).await;
+        sleep((started + schedule.length).saturating_sub(scenario.recorder.now())).await;
+        scenario.check_last_configuration(self.size.controls).await;
         tasks.shutdown().await;
-        Ok(stage.verdict(schedule.steps.len()))
+        Ok(scenario.finish(schedule.steps.len()))
     }
 
-    async fn stage(&self, fleet: Fleet) -> io::Result<Stage> {
+    async fn start_scenario(&self, fleet: Fleet) -> io::Result<Scenario> {
         let addresses = fleet.addresses;
-        let book = Book::new();
-        let calls = Calls::new(addresses, fleet.places.clone());
-        let operator = Operator::new(calls.clone(), book.clone());
-        let disturbed = Disturbed::new(self.shape.routers);
+        let recorder = Recorder::new();
+        let control_client = ControlClient::new(addresses, fleet.slots.clone());
+        let operator = Operator::new(control_client.clone(), recorder.clone());
+        let disturbances = Disturbances::new(self.size.routers);
         let mut upstreams = Vec::new();
-        for n in 0..self.shape.upstreams {
-            let place = Place::Upstream(n);
-            let bound = SocketAddr::new(addresses.bound(place), UPSTREAM_PORT);
-            let reached = SocketAddr::new(addresses.reached(place), UPSTREAM_PORT);
+        for n in 0..self.size.upstreams {
+            let endpoint = Endpoint::Upstream(n);
+            let bound = SocketAddr::new(addresses.bind_ip(endpoint), UPSTREAM_PORT);
+            let proxied = SocketAddr::new(addresses.proxy_ip(endpoint), UPSTREAM_PORT);
             let path = Path {
-                from: Place::Outside,
-                to: place,
+                from: Endpoint::Outside,
+                to: endpoint,
             };
-            crate::proxy::proxy_tcp(reached, bound, path, fleet.rules.clone()).await?;
-            let (seen, clock) = (disturbed.clone(), book.clone());
-            let calm = move || seen.is_calm(clock.now());
+            crate::proxy::proxy_tcp(proxied, bound, path, fleet.rules.clone()).await?;
+            let (disturbances, clock) = (disturbances.clone(), recorder.clone());
+            let is_undisturbed = move || disturbances.is_undisturbed(clock.now());
             let service = SERVICES[n % SERVICES.len()];
             let mut upstream = Upstream::new(
                 n,
                 service,
-                (bound, reached),
-                book.clone(),
-                calls.clone(),
-                Arc::new(calm),
+                (bound, proxied),
+                recorder.clone(),
+                control_client.clone(),
+                Arc::new(is_undisturbed),
             );
             upstream.start().await?;
             upstreams.push(tokio::sync::Mutex::new(upstream));
         }
-        Ok(Stage {
+        Ok(Scenario {
             fleet,
-            book,
+            recorder,
             operator,
             upstreams,
-            disturbed,
-            replaces: self.replaces,
+            disturbances,
+            replaces_hosts: self.replaces_hosts,
         })
     }
 
-    async fn wait_until_ready(&self, stage: &Stage) -> Result<(), RunError> {
-        let first = tokio::time::timeout(READY_WITHIN, stage.operator.change()).await;
+    async fn wait_until_ready(&self, scenario: &Scenario) -> Result<(), RunError> {
+        let first = tokio::time::timeout(READY_TIMEOUT, scenario.operator.put_next()).await;
         first.map_err(|_| RunError::NotReady)?;
-        stage.fleet.end_first_start()?;
-        for router in 0..self.shape.routers {
-            let at = stage.fleet.addresses.readiness(router);
-            let is_ready = || ready(at);
-            if !wait_until(READY_WITHIN, is_ready).await {
+        scenario.fleet.end_first_start()?;
+        for router in 0..self.size.routers {
+            let at = scenario.fleet.addresses.readiness_address(router);
+            let is_ready = || is_router_ready(at);
+            if !wait_until(READY_TIMEOUT, is_ready).await {
                 return Err(RunError::NotReady);
             }
         }
         Ok(())
     }
 
-    fn start_callers(&self, stage: &Arc<Stage>) -> JoinSet<()> {
+    fn start_clients(&self, scenario: &Arc<Scenario>) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
-        let book = stage
-            .book
-            .counting_from(stage.book.now() + self.length.saturating_sub(SERVED_IN_THE_LAST));
-        for number in 0..self.shape.routers * self.clients {
-            let (seen, clock) = (stage.disturbed.clone(), stage.book.clone());
+        let recorder = scenario.recorder.with_recovery_from(
+            scenario.recorder.now() + self.length.saturating_sub(RECOVERY_WINDOW),
+        );
+        for number in 0..self.size.routers * self.clients {
+            let (disturbances, clock) = (scenario.disturbances.clone(), scenario.recorder.clone());
             let client = Client {
                 number,
-                addresses: stage.fleet.addresses,
-                routers: self.shape.routers,
-                book: book.clone(),
-                operator: stage.operator.clone(),
-                planned_only: Arc::new(move |router| seen.is_planned_only(router, clock.now())),
+                addresses: scenario.fleet.addresses,
+                routers: self.size.routers,
+                recorder: recorder.clone(),
+                operator: scenario.operator.clone(),
+                is_planned_stop_only: Arc::new(move |router| {
+                    disturbances.is_planned_stop_only(router, clock.now())
+                }),
             };
-            tasks.spawn(client.work(self.seed ^ (number as u64 + 1)));
+            tasks.spawn(client.run(self.seed ^ (number as u64 + 1)));
         }
-        tasks.spawn(stage.operator.clone().work(self.seed));
+        tasks.spawn(scenario.operator.clone().run(self.seed));
         tasks
     }
 }
 
-fn ready(at: SocketAddr) -> bool {
+fn is_router_ready(at: SocketAddr) -> bool {
     let url = format!("http://{at}{}", coltsfootnotch_platform_peers::READY);
     ureq::get(&url).call().is_ok()
 }
 
-/// What a folder holds of a run, for a message about it.
+/// Describes the contents of a run's folder.
 #[must_use]
 pub fn logs_of(folder: &FilePath) -> String {
     format!("logs, settings and state in {}", folder.display())
--- /dev/null
+++ b/soak/src/scenario.rs
@@ -0,0 +1,246 @@
+//! Applies the steps of a schedule to the fleet and the simulated upstreams.
+
+use std::io;
+use std::time::Duration;
+
+use tokio::sync::Mutex;
+use tokio::time::sleep;
+
+use crate::disturbances::Disturbances;
+use crate::fleet::{Fleet, GRACE_S};
+use crate::operator::Operator;
+use crate::process::wait_until;
+use crate::proxy::{Endpoint, Path, Rule};
+use crate::recorder::{Invariant, Recorder};
+use crate::run::Outcome;
+use crate::schedule::{Action, Step};
+use crate::upstream::Upstream;
+
+/// Minimum share of requests served after the last fault.
+const MIN_SERVED_SHARE: f64 = 0.9;
+/// Time limit for reading the last configuration.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// The fleet with its operators and simulated upstreams.
+pub(crate) struct Scenario {
+    pub(crate) fleet: Fleet,
+    pub(crate) recorder: Recorder,
+    pub(crate) operator: Operator,
+    pub(crate) upstreams: Vec<Mutex<Upstream>>,
+    pub(crate) disturbances: Disturbances,
+    /// Whether a control host that loses its disk is replaced by another.
+    pub(crate) replaces_hosts: bool,
+}
+
+impl Scenario {
+    /// Performs one step and waits until its fault has ended.
+    pub(crate) async fn run_step(&self, step: Step) {
+        if let Err(e) = self.run_action(step.action).await {
+            self.recorder
+                .report(Invariant::NoUnexpectedExit, format!("{}: {e}", step.action));
+        }
+    }
+
+    async fn run_action(&self, action: Action) -> io::Result<()> {
+        match action {
+            Action::KillControl { host, down } => self.kill_controls(&[host], down, false).await,
+            Action::WipeControl { host, down } => self.kill_controls(&[host], down, true).await,
+            Action::KillAllControls { down } => {
+                let all: Vec<usize> = (0..self.fleet.control_count()).collect();
+                self.kill_controls(&all, down, false).await
+            }
+            Action::PauseControl { host, pause } => {
+                self.disturb_control(pause);
+                self.fleet.control(host).set_paused(true)?;
+                sleep(pause).await;
+                self.fleet.control(host).set_paused(false)
+            }
+            Action::KillRouter { host, down } => {
+                self.disturb_router(host, down);
+                self.fleet.router(host).kill()?;
+                sleep(down).await;
+                self.fleet.router(host).ensure_running()
+            }
+            Action::PauseRouter { host, pause } => {
+                self.disturb_router(host, pause);
+                self.fleet.router(host).set_paused(true)?;
+                sleep(pause).await;
+                self.fleet.router(host).set_paused(false)
+            }
+            Action::StopRouter { host } => self.stop_router(host).await,
+            Action::ReloadRouter { host } => self.fleet.router(host).reload(),
+            Action::LinkRouter {
+                router,
+                control,
+                rule,
+                time,
+            } => {
+                self.disturb_router(router, time);
+                let (from, to) = (Endpoint::Router(router), self.control_endpoint(control));
+                self.apply_rule(&[Path { from, to }], rule, time).await
+            }
+            Action::LinkControl { host, rule, time } => {
+                self.disturb_control(time);
+                let others = (0..self.fleet.control_count()).filter(|n| *n != host);
+                let one = self.control_endpoint(host);
+                let both = others.flat_map(|n| {
+                    let other = self.control_endpoint(n);
+                    [(one, other), (other, one)].map(|(from, to)| Path { from, to })
+                });
+                self.apply_rule(&both.collect::<Vec<_>>(), rule, time).await
+            }
+            Action::LinkUpstream {
+                upstream,
+                rule,
+                time,
+            } => {
+                self.apply_rule_from_outside(Endpoint::Upstream(upstream), rule, time)
+                    .await
+            }
+            Action::LinkClients { router, rule, time } => {
+                self.disturb_router(router, time);
+                self.apply_rule_from_outside(Endpoint::Router(router), rule, time)
+                    .await
+            }
+            Action::CrashUpstream { upstream, down } => {
+                let mut upstream = self.upstreams[upstream].lock().await;
+                upstream.crash();
+                sleep(down).await;
+                upstream.start().await
+            }
+            Action::DrainUpstream { upstream } => {
+                let mut upstream = self.upstreams[upstream].lock().await;
+                upstream.drain().await;
+                upstream.start().await
+            }
+            Action::DropAnswers { upstream, time } => {
+                let upstream = &self.upstreams[upstream];
+                upstream.lock().await.set_drops_answers(true);
+                sleep(time).await;
+                upstream.lock().await.set_drops_answers(false);
+                Ok(())
+            }
+            Action::ConflictingPuts => {
+                self.operator.put_conflicting().await;
+                Ok(())
+            }
+            Action::RotateKey => {
+                self.operator.rotate_key().await;
+                Ok(())
+            }
+        }
+    }
+
+    async fn kill_controls(&self, hosts: &[usize], down: Duration, wipe: bool) -> io::Result<()> {
+        self.disturb_control(down);
+        let mut replaced = Vec::new();
+        for host in hosts {
+            self.fleet.control(*host).kill()?;
+            if !wipe || !self.disturbances.try_lose_disk(self.recorder.now()) {
+                continue;
+            }
+            if self.replaces_hosts {
+                replaced.push(*host);
+            } else {
+                self.fleet.wipe_disk(*host)?;
+            }
+        }
+        sleep(down).await;
+        for host in hosts {
+            if replaced.contains(host) {
+                self.fleet.replace_control(*host)?;
+            } else {
+                self.fleet.control(*host).ensure_running()?;
+            }
+        }
+        Ok(())
+    }
+
+    fn control_endpoint(&self, control: usize) -> Endpoint {
+        Endpoint::Control(self.fleet.slots.slot(control))
+    }
+
+    async fn stop_router(&self, host: usize) -> io::Result<()> {
+        self.disturbances
+            .record_planned_stop(host, self.recorder.now());
+        self.fleet.router(host).request_stop()?;
+        let within = Duration::from_secs_f64(GRACE_S);
+        let ended = wait_until(within, || {
+            !self.fleet.router(host).is_running().unwrap_or(true)
+        });
+        if !ended.await {
+            // The grace period is over: kill as the platform does, which may cut requests in progress.
+            self.disturb_router(host, Duration::ZERO);
+            self.fleet.router(host).kill()?;
+        }
+        self.fleet.router(host).ensure_running()?;
+        self.disturbances
+            .record_planned_stop(host, self.recorder.now());
+        Ok(())
+    }
+
+    async fn apply_rule_from_outside(
+        &self,
+        to: Endpoint,
+        rule: Rule,
+        time: Duration,
+    ) -> io::Result<()> {
+        let from = Endpoint::Outside;
+        self.apply_rule(&[Path { from, to }], rule, time).await
+    }
+
+    async fn apply_rule(&self, paths: &[Path], rule: Rule, time: Duration) -> io::Result<()> {
+        for path in paths {
+            self.fleet.rules.set(*path, rule);
+        }
+        sleep(time).await;
+        for path in paths {
+            self.fleet.rules.set(*path, Rule::Pass);
+        }
+        Ok(())
+    }
+
+    /// Records that a router is disturbed for `time` from now on.
+    fn disturb_router(&self, router: usize, time: Duration) {
+        self.disturbances
+            .extend_router(router, self.recorder.now() + time);
+    }
+
+    fn disturb_control(&self, time: Duration) {
+        self.disturbances.extend_control(self.recorder.now() + time);
+    }
+
+    /// Checks that some control host returns the newest accepted configuration.
+    pub(crate) async fn check_last_configuration(&self, controls: usize) {
+        let end = self.recorder.now() + READ_BACK_TIMEOUT;
+        let mut attempt = 0;
+        while self.recorder.now() < end {
+            attempt += 1;
+            if self.operator.read_back(attempt % controls).await {
+                return;
+            }
+            sleep(Duration::from_millis(100)).await;
+        }
+        let what = "no control host returns the configuration";
+        self.recorder.report(Invariant::Recovery, what);
+    }
+
+    /// Checks recovery and unexpected exits, and returns the result of the run.
+    pub(crate) fn finish(&self, steps: usize) -> Outcome {
+        let (recovered, total) = self.recorder.recovery();
+        if recovered < MIN_SERVED_SHARE {
+            let what = format!("{recovered:.3} of {total} requests are served at the end");
+            self.recorder.report(Invariant::Recovery, what);
+        }
+        for (name, exits) in self.fleet.unexpected_exits() {
+            let what = format!("{name} exited unexpectedly {exits} times");
+            self.recorder.report(Invariant::NoUnexpectedExit, what);
+        }
+        Outcome {
+            findings: self.recorder.findings(),
+            counts: self.recorder.counts(),
+            recovered,
+            steps,
+        }
+    }
+}
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong when, drawn from a seed.
+//! Schedules of faults and planned operations, drawn from a seed.
 
 use std::time::Duration;
 
@@ -8,197 +8,197 @@
 
 use crate::proxy::Rule;
 
-/// Part of a run at its end in which nothing goes wrong, so that recovery can be seen.
-const CALM_AT_THE_END: Duration = Duration::from_secs(8);
-/// Part at its beginning, in which the fleet starts.
-const CALM_AT_THE_START: Duration = Duration::from_secs(4);
-/// Mean time between two faults. Most last for one to four seconds, so several overlap.
+/// Final part of a run without faults, in which recovery is checked.
+const QUIET_END: Duration = Duration::from_secs(8);
+/// First part of a run without faults, in which the fleet starts.
+const QUIET_START: Duration = Duration::from_secs(4);
+/// Mean time between two steps. Most faults last longer, so several overlap.
 const MEAN_GAP_MS: u64 = 900;
 
-/// How many of everything there are.
+/// Number of hosts and upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Shape {
-    /// Control hosts: three, five or seven.
+pub struct FleetSize {
+    /// Number of control hosts: three, five or seven.
     pub controls: usize,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Upstreams, of both kinds in turn.
+    /// Number of upstreams, assigned to the services in turn.
     pub upstreams: usize,
 }
 
-/// One thing that goes wrong, or one piece of planned work.
+/// A fault or a planned operation.
 #[derive(Debug, Clone, Copy, PartialEq, Display)]
 pub enum Action {
-    /// A control host is killed and started again.
+    /// Kills a control host and restarts it.
     #[display("control {host} is killed for {down:?}")]
     KillControl {
-        /// Which.
+        /// Index of the target.
         host: usize,
-        /// Until it starts again.
+        /// Downtime before the restart.
         down: Duration,
     },
-    /// A control host is killed and comes back with an empty disk.
+    /// Kills a control host and restarts it with an empty disk.
     #[display("control {host} is killed for {down:?} and loses its disk")]
     WipeControl {
-        /// Which.
+        /// Index of the target.
         host: usize,
-        /// Until it starts again.
+        /// Downtime before the restart.
         down: Duration,
     },
-    /// All control hosts are killed at once.
+    /// Kills all control hosts at once and restarts them.
     #[display("all control hosts are killed for {down:?}")]
     KillAllControls {
-        /// Until they start again.
+        /// Downtime before the restart.
         down: Duration,
     },
-    /// A control host stands still.
-    #[display("control {host} stands still for {still:?}")]
+    /// Pauses a control host.
+    #[display("control {host} is paused for {pause:?}")]
     PauseControl {
-        /// Which.
+        /// Index of the target.
         host: usize,
-        /// For how long.
-        still: Duration,
+        /// Duration of the fault.
+        pause: Duration,
     },
-    /// A router is killed and started again.
+    /// Kills a router and restarts it.
     #[display("router {host} is killed for {down:?}")]
     KillRouter {
-        /// Which.
+        /// Index of the target.
         host: usize,
-        /// Until it starts again.
+        /// Downtime before the restart.
         down: Duration,
     },
-    /// A router stands still.
-    #[display("router {host} stands still for {still:?}")]
+    /// Pauses a router.
+    #[display("router {host} is paused for {pause:?}")]
     PauseRouter {
-        /// Which.
+        /// Index of the target.
         host: usize,
-        /// For how long.
-        still: Duration,
+        /// Duration of the fault.
+        pause: Duration,
     },
-    /// A router is told to stop, and starts again when it has ended.
-    #[display("router {host} is told to stop")]
+    /// Stops a router gracefully and restarts it once it has exited.
+    #[display("router {host} is stopped gracefully")]
     StopRouter {
-        /// Which.
+        /// Index of the target.
         host: usize,
     },
-    /// A router is told that its settings changed.
-    #[display("router {host} is told to read its settings")]
-    HangUpRouter {
-        /// Which.
+    /// Signals a router to reload its settings.
+    #[display("router {host} is told to reload its settings")]
+    ReloadRouter {
+        /// Index of the target.
         host: usize,
     },
-    /// The path of a router to a control host is disturbed.
+    /// Applies a rule to the path from a router to a control host.
     #[display("router {router} to control {control}: {rule} for {time:?}")]
     LinkRouter {
         /// The router.
         router: usize,
         /// The control host.
         control: usize,
-        /// What happens on it.
+        /// The rule.
         rule: Rule,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// A control host is cut off from the others, or disturbed on its paths to them.
+    /// Applies a rule to all paths between a control host and the others.
     #[display("control {host} to the others: {rule} for {time:?}")]
     LinkControl {
-        /// Which.
+        /// Index of the target.
         host: usize,
-        /// What happens on its paths.
+        /// The rule.
         rule: Rule,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// The path of all routers to an upstream is disturbed.
+    /// Applies a rule to the path from all routers to an upstream.
     #[display("routers to upstream {upstream}: {rule} for {time:?}")]
     LinkUpstream {
         /// The upstream.
         upstream: usize,
-        /// What happens on it.
+        /// The rule.
         rule: Rule,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// The path of clients to a router is disturbed.
+    /// Applies a rule to the path from clients to a router.
     #[display("clients to router {router}: {rule} for {time:?}")]
     LinkClients {
         /// The router.
         router: usize,
-        /// What happens on it.
+        /// The rule.
         rule: Rule,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// An upstream crashes; a new one starts in its place.
+    /// Crashes an upstream and starts a new run of it.
     #[display("upstream {upstream} crashes for {down:?}")]
     CrashUpstream {
-        /// Which.
+        /// Index of the target.
         upstream: usize,
-        /// Until it starts again.
+        /// Downtime before the restart.
         down: Duration,
     },
-    /// An upstream drains, leaves and is replaced.
+    /// Drains an upstream, lets it leave and starts a new run of it.
     #[display("upstream {upstream} drains and leaves")]
     DrainUpstream {
-        /// Which.
+        /// Index of the target.
         upstream: usize,
     },
-    /// An upstream loses the answers of what it runs.
+    /// Makes an upstream run requests without answering them.
     #[display("upstream {upstream} loses answers for {time:?}")]
-    LoseAnswers {
-        /// Which.
+    DropAnswers {
+        /// Index of the target.
         upstream: usize,
-        /// For how long.
+        /// Duration of the fault.
         time: Duration,
     },
-    /// Two operators put different configurations under the same number.
-    #[display("two operators change the configuration at once")]
-    Race,
-    /// A key is taken away.
-    #[display("a key is taken away")]
-    Revoke,
+    /// Puts two different configurations with the same number concurrently.
+    #[display("two operators put conflicting configurations")]
+    ConflictingPuts,
+    /// Revokes a key and adds a new one.
+    #[display("a key is revoked")]
+    RotateKey,
 }
 
-/// An action and when it begins, from the start of the run.
+/// An action and its start time.
 #[derive(Debug, Clone, Copy, PartialEq, Display)]
 #[display("{at:?} {action}")]
 pub struct Step {
-    /// When.
+    /// Time since the start of the schedule.
     pub at: Duration,
-    /// What.
+    /// The action.
     pub action: Action,
 }
 
-/// Everything that goes wrong in a run.
+/// The steps of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Schedule {
-    /// By time.
+    /// Steps in order of time.
     pub steps: Vec<Step>,
-    /// How long the run lasts.
+    /// Length of the run.
     pub length: Duration,
 }
 
 impl Schedule {
-    /// Draws the schedule of a seed.
+    /// Draws the schedule for a seed.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use coltsfootnotch_soak::schedule::{Schedule, Shape};
-    /// let shape = Shape { controls: 3, routers: 2, upstreams: 4 };
+    /// use coltsfootnotch_soak::schedule::{Schedule, FleetSize};
+    /// let size = FleetSize { controls: 3, routers: 2, upstreams: 4 };
     /// let length = Duration::from_secs(60);
-    /// assert_eq!(Schedule::draw(7, length, shape), Schedule::draw(7, length, shape));
-    /// assert_ne!(Schedule::draw(7, length, shape), Schedule::draw(8, length, shape));
+    /// assert_eq!(Schedule::draw(7, length, size), Schedule::draw(7, length, size));
+    /// assert_ne!(Schedule::draw(7, length, size), Schedule::draw(8, length, size));
     /// ```
     #[must_use]
-    pub fn draw(seed: u64, length: Duration, shape: Shape) -> Self {
+    pub fn draw(seed: u64, length: Duration, size: FleetSize) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut steps = Vec::new();
-        let mut at = CALM_AT_THE_START;
-        let end = length.saturating_sub(CALM_AT_THE_END);
+        let mut at = QUIET_START;
+        let end = length.saturating_sub(QUIET_END);
         while at < end {
             let step = Step {
                 at,
-                action: draw_action(&mut rng, shape),
+                action: draw_action(&mut rng, size),
             };
             steps.push(step);
             at += Duration::from_millis(rng.random_range(50..2 * MEAN_GAP_MS));
@@ -207,10 +207,10 @@
     }
 }
 
-fn draw_action(rng: &mut StdRng, shape: Shape) -> Action {
-    let host = rng.random_range(0..shape.controls);
-    let router = rng.random_range(0..shape.routers);
-    let upstream = rng.random_range(0..shape.upstreams);
+fn draw_action(rng: &mut StdRng, size: FleetSize) -> Action {
+    let host = rng.random_range(0..size.controls);
+    let router = rng.random_range(0..size.routers);
+    let upstream = rng.random_range(0..size.upstreams);
     let time = Duration::from_millis(rng.random_range(300..4_000));
     let down = Duration::from_millis(rng.random_range(100..2_000));
     let rule = draw_rule(rng);
@@ -218,14 +218,14 @@
         0..8 => Action::KillControl { host, down },
         8..12 => Action::WipeControl { host, down },
         12..15 => Action::KillAllControls { down },
-        15..22 => Action::PauseControl { host, still: time },
+        15..22 => Action::PauseControl { host, pause: time },
         22..29 => Action::KillRouter { host: router, down },
         29..35 => Action::PauseRouter {
             host: router,
-            still: time,
+            pause: time,
         },
         35..43 => Action::StopRouter { host: router },
-        43..47 => Action::HangUpRouter { host: router },
+        43..47 => Action::ReloadRouter { host: router },
         47..53 => Action::LinkRouter {
             router,
             control: host,
@@ -241,18 +241,18 @@
         68..74 => Action::LinkClients { router, rule, time },
         74..80 => Action::CrashUpstream { upstream, down },
         80..87 => Action::DrainUpstream { upstream },
-        87..92 => Action::LoseAnswers { upstream, time },
-        92..96 => Action::Race,
-        _ => Action::Revoke,
+        87..92 => Action::DropAnswers { upstream, time },
+        92..96 => Action::ConflictingPuts,
+        _ => Action::RotateKey,
     }
 }
 
 fn draw_rule(rng: &mut StdRng) -> Rule {
     match rng.random_range(0..6) {
         0 => Rule::Delay(Duration::from_millis(rng.random_range(20..400))),
-        1 => Rule::NotThere,
-        2 => Rule::NotBack,
+        1 => Rule::DropForward,
+        2 => Rule::DropBackward,
         3 => Rule::Reset,
-        _ => Rule::Silent,
+        _ => Rule::DropAll,
     }
 }
--- a/soak/src/upstream/mod.rs
+++ b/soak/src/upstream/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for upstreams: they run requests, stream answers, announce themselves, crash and leave.
+//! Simulated upstreams that run requests, stream answers, announce themselves, drain and crash.
 
-mod answer;
+mod response;
 mod run;
 
 use std::io;
@@ -17,55 +17,55 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use self::answer::answer;
-pub use self::answer::{EVENTS, event_text};
+use self::response::respond;
+pub use self::response::{EVENTS, event_text};
 use self::run::Run;
-use crate::book::Book;
-use crate::operator::Calls;
+use crate::operator::ControlClient;
+use crate::recorder::Recorder;
 
-/// Between two announcements.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(400);
-/// How long an upstream that leaves goes on serving.
-const SERVES_ON: Duration = Duration::from_millis(3_000);
-/// Requests at once.
-const SLOTS: u32 = 32;
+/// Interval between two announcements.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(400);
+/// Time for which a draining upstream keeps serving before it leaves.
+const DRAIN_TIME: Duration = Duration::from_millis(3_000);
+/// Announced number of concurrent requests.
+const CONCURRENCY: u32 = 32;
 
-/// One upstream: a place at which runs follow each other.
+/// A simulated upstream: one address, with one run (incarnation) at a time.
 pub struct Upstream {
     number: usize,
     service: &'static str,
-    /// Where it binds, and where it is reached.
+    /// Address that it binds; `proxied` is that of its proxy.
     bound: SocketAddr,
-    reached: SocketAddr,
-    book: Book,
-    calls: Calls,
-    /// Whether the routers are undisturbed, and what they are told must reach them in time.
-    calm: Arc<dyn Fn() -> bool + Send + Sync>,
+    proxied: SocketAddr,
+    recorder: Recorder,
+    control_client: ControlClient,
+    /// Returns whether the routers are undisturbed, so that updates must reach them within the bound.
+    is_undisturbed: Arc<dyn Fn() -> bool + Send + Sync>,
     runs: u64,
-    now: Option<(Arc<Run>, Vec<JoinHandle<()>>)>,
+    current: Option<(Arc<Run>, Vec<JoinHandle<()>>)>,
 }
 
 impl Upstream {
-    /// An upstream that does not run yet.
+    /// Creates an upstream that isn't running yet.
     #[must_use]
     pub fn new(
         number: usize,
         service: &'static str,
-        (bound, reached): (SocketAddr, SocketAddr),
-        book: Book,
-        calls: Calls,
-        calm: Arc<dyn Fn() -> bool + Send + Sync>,
+        (bound, proxied): (SocketAddr, SocketAddr),
+        recorder: Recorder,
+        control_client: ControlClient,
+        is_undisturbed: Arc<dyn Fn() -> bool + Send + Sync>,
     ) -> Self {
         Self {
             number,
             service,
             bound,
-            reached,
-            book,
-            calls,
-            calm,
+            proxied,
+            recorder,
+            control_client,
+            is_undisturbed,
             runs: 0,
-            now: None,
+            current: None,
         }
     }
 
@@ -75,96 +75,114 @@
     /// Returns an error when its address can't be bound.
     pub async fn start(&mut self) -> io::Result<()> {
         self.runs += 1;
-        let born = SystemTime::now().duration_since(UNIX_EPOCH);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let run = Arc::new(Run {
             id: format!("u{}-{}", self.number, self.runs),
             service: self.service,
-            address: self.reached,
-            born_ms: born.map_err(io::Error::other)?.as_millis() as u64,
+            address: self.proxied,
+            born_ms: since_epoch.map_err(io::Error::other)?.as_millis() as u64,
             sequence: AtomicU64::new(0),
             state: Mutex::default(),
         });
         let listener = bind(self.bound).await?;
-        let (book, calm) = (self.book.clone(), Arc::clone(&self.calm));
-        let served = Arc::clone(&run);
+        let (recorder, is_undisturbed) = (self.recorder.clone(), Arc::clone(&self.is_undisturbed));
+        let served_run = Arc::clone(&run);
         let serving = tokio::spawn(async move {
-            // Connections end with the run: a crash closes them all.
+            // Dropping the set closes all connections, as a crash does.
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
                     continue;
                 };
-                let (run, book, calm) = (Arc::clone(&served), book.clone(), Arc::clone(&calm));
+                let (run, recorder, is_undisturbed) = (
+                    Arc::clone(&served_run),
+                    recorder.clone(),
+                    Arc::clone(&is_undisturbed),
+                );
                 let service = service_fn(move |req| {
-                    let (run, book, calm) = (Arc::clone(&run), book.clone(), Arc::clone(&calm));
-                    async move { answer(req, &run, &book, &*calm).await }
+                    let (run, recorder, is_undisturbed) = (
+                        Arc::clone(&run),
+                        recorder.clone(),
+                        Arc::clone(&is_undisturbed),
+                    );
+                    async move { respond(req, &run, &recorder, &*is_undisturbed).await }
                 });
                 connections.spawn(async move {
-                    // A broken connection is the router's to notice.
-                    let _ended = http1::Builder::new()
+                    // Broken connections are checked at the client.
+                    let _ignored = http1::Builder::new()
                         .serve_connection(TokioIo::new(stream), service)
                         .await;
                 });
             }
         });
-        let announcing = tokio::spawn(announce(Arc::clone(&run), self.calls.clone()));
-        self.now = Some((run, vec![serving, announcing]));
+        let announcing = tokio::spawn(announce(Arc::clone(&run), self.control_client.clone()));
+        self.current = Some((run, vec![serving, announcing]));
         Ok(())
     }
 
-    /// Ends the run at once.
+    /// Ends the run and its connections at once.
     pub fn crash(&mut self) {
-        for task in self.now.take().into_iter().flat_map(|(_, tasks)| tasks) {
+        for task in self.current.take().into_iter().flat_map(|(_, tasks)| tasks) {
             task.abort();
         }
     }
 
-    /// Makes the run lose its answers, or not.
-    pub fn lose_answers(&self, loses: bool) {
-        if let Some((run, _)) = &self.now {
-            run.state().loses_answers = loses;
+    /// Sets whether the run drops its answers.
+    pub fn set_drops_answers(&self, drops: bool) {
+        if let Some((run, _)) = &self.current {
+            run.state().drops_answers = drops;
         }
     }
 
-    /// Drains, leaves and ends the run.
+    /// Announces the drain, keeps serving for a while, then leaves and ends the run.
     pub async fn drain(&mut self) {
-        let Some((run, _)) = &self.now else {
+        let Some((run, _)) = &self.current else {
             return;
         };
         let run = Arc::clone(run);
         run.state().draining = true;
         for _ in 0..10 {
             let path = announce_path(&run.id);
-            if self.calls.post(&path, run.text().announcement()).await == 200 {
-                run.state().left = Some(self.book.now());
+            if self
+                .control_client
+                .post(&path, run.description().announcement())
+                .await
+                == 200
+            {
+                run.state().drained_at = Some(self.recorder.now());
                 break;
             }
         }
-        sleep(SERVES_ON).await;
+        sleep(DRAIN_TIME).await;
         let path = leave_path(&run.id);
-        // Without an acknowledgement it ends all the same, as real ones do.
-        let _status = self.calls.post(&path, run.text().leave()).await;
+        // Like a real upstream, it ends even without an acknowledgement.
+        let _status = self
+            .control_client
+            .post(&path, run.description().leave())
+            .await;
         self.crash();
     }
 }
 
-/// Binds an address that a run before may still hold for a moment.
+/// Binds an address, retrying while the previous run still holds it.
 async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
         match TcpListener::bind(address).await {
-            Err(_) if tries < 100 => tries += 1,
+            Err(_) if attempts < 100 => attempts += 1,
             bound => return bound,
         }
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn announce(run: Arc<Run>, calls: Calls) {
+async fn announce(run: Arc<Run>, control_client: ControlClient) {
     let path = announce_path(&run.id);
     loop {
-        // Lost ones are followed by the next.
-        let _status = calls.post(&path, run.text().announcement()).await;
-        sleep(ANNOUNCE_EVERY).await;
+        // A lost announcement is followed by the next one.
+        let _status = control_client
+            .post(&path, run.description().announcement())
+            .await;
+        sleep(ANNOUNCE_INTERVAL).await;
     }
 }
--- a/soak/src/upstream/run.rs
+++ b/soak/src/upstream/run.rs
@@ -1,4 +1,4 @@
-//! One run of an upstream: what it is, and what it was told.
+//! One run (incarnation) of a simulated upstream.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,9 +7,9 @@
 
 use coltsfootnotch_platform_peers::UpstreamText;
 
-use super::SLOTS;
+use super::CONCURRENCY;
 
-/// What an upstream is told, and what it is.
+/// Identity and state of a run.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) id: String,
@@ -23,9 +23,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct State {
     pub(super) draining: bool,
-    /// When its leaving was acknowledged.
-    pub(super) left: Option<Duration>,
-    pub(super) loses_answers: bool,
+    /// Time at which its drain was acknowledged.
+    pub(super) drained_at: Option<Duration>,
+    pub(super) drops_answers: bool,
 }
 
 impl Run {
@@ -33,12 +33,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn text(&self) -> UpstreamText<'_> {
+    pub(super) fn description(&self) -> UpstreamText<'_> {
         UpstreamText {
             service: self.service,
             address: self.address,
             domain: "north",
-            slots: SLOTS,
+            slots: CONCURRENCY,
             draining: self.state().draining,
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed),
             born_ms: self.born_ms,
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -1,65 +1,71 @@
-//! Each promise is found broken when it is.
+//! The recorder reports violated invariants.
 
 use std::time::Duration;
 
-use coltsfootnotch_soak::book::{Book, Ended, Promise};
+use coltsfootnotch_soak::recorder::{Invariant, Recorder, RequestOutcome};
 use googletest::prelude::*;
 
-fn promises(book: &Book) -> Vec<Promise> {
-    book.findings().iter().map(|f| f.promise).collect()
+fn violated(recorder: &Recorder) -> Vec<Invariant> {
+    recorder.findings().iter().map(|f| f.invariant).collect()
 }
 
 #[googletest::test]
-fn a_second_run_of_what_may_run_once_is_found() {
-    let book = Book::new();
-    book.sent("a", false, true);
-    book.ran("a", "u1");
-    expect_that!(promises(&book), is_empty());
-    book.ran("a", "u2");
-    expect_that!(promises(&book), elements_are![eq(&Promise::AtMostOnce)]);
+fn a_second_run_of_an_unrepeatable_request_is_reported() {
+    let recorder = Recorder::new();
+    recorder.record_sent("a", false, true);
+    recorder.record_run("a", "u1");
+    expect_that!(violated(&recorder), is_empty());
+    recorder.record_run("a", "u2");
+    expect_that!(
+        violated(&recorder),
+        elements_are![eq(&Invariant::AtMostOnce)]
+    );
 }
 
 #[googletest::test]
-fn what_may_be_repeated_may_run_again() {
-    let book = Book::new();
-    book.sent("a", true, true);
-    book.ran("a", "u1");
-    book.ran("a", "u2");
-    book.ended("a", Duration::ZERO, Ended::Refused);
-    expect_that!(promises(&book), is_empty());
+fn a_repeatable_request_may_run_again() {
+    let recorder = Recorder::new();
+    recorder.record_sent("a", true, true);
+    recorder.record_run("a", "u1");
+    recorder.record_run("a", "u2");
+    recorder.record_outcome("a", Duration::ZERO, RequestOutcome::Refused);
+    expect_that!(violated(&recorder), is_empty());
 }
 
 #[googletest::test]
-fn a_refusal_that_is_not_true_is_found_before_and_after() {
-    let book = Book::new();
-    book.sent("before", false, true);
-    book.ran("before", "u1");
-    book.ended("before", Duration::ZERO, Ended::Refused);
-    book.sent("after", false, true);
-    book.ended("after", Duration::ZERO, Ended::Refused);
-    book.ran("after", "u1");
-    let found = promises(&book);
-    expect_that!(found, each(eq(&Promise::RefusedNotRun)));
+fn a_run_before_or_after_a_refusal_is_reported() {
+    let recorder = Recorder::new();
+    recorder.record_sent("before", false, true);
+    recorder.record_run("before", "u1");
+    recorder.record_outcome("before", Duration::ZERO, RequestOutcome::Refused);
+    recorder.record_sent("after", false, true);
+    recorder.record_outcome("after", Duration::ZERO, RequestOutcome::Refused);
+    recorder.record_run("after", "u1");
+    let found = violated(&recorder);
+    expect_that!(found, each(eq(&Invariant::RefusedNotRun)));
     expect_that!(found.len(), eq(2));
 }
 
 #[googletest::test]
-fn a_run_that_nobody_asked_for_is_found() {
-    let book = Book::new();
-    book.ran("ghost", "u1");
-    expect_that!(promises(&book), elements_are![eq(&Promise::RightAnswer)]);
+fn a_run_without_a_request_is_reported() {
+    let recorder = Recorder::new();
+    recorder.record_run("ghost", "u1");
+    expect_that!(
+        violated(&recorder),
+        elements_are![eq(&Invariant::CorrectAnswer)]
+    );
 }
 
 #[googletest::test]
-fn only_what_was_sent_after_the_last_fault_counts_for_recovery() {
-    let book = Book::new().counting_from(Duration::from_secs(9));
+fn only_requests_sent_after_the_last_fault_count_towards_recovery() {
+    let recorder = Recorder::new().with_recovery_from(Duration::from_secs(9));
     for id in ["early", "late", "later"] {
-        book.sent(id, true, true);
+        recorder.record_sent(id, true, true);
     }
-    book.sent("revoked", true, false);
-    book.ended("revoked", Duration::from_secs(10), Ended::Failed);
-    book.ended("early", Duration::from_secs(8), Ended::Cut);
-    book.ended("late", Duration::from_secs(9), Ended::Served);
-    book.ended("later", Duration::from_secs(10), Ended::Refused);
-    expect_that!(book.recovery(), eq((0.5, 2)));
+    recorder.record_sent("revoked", true, false);
+    recorder.record_outcome("revoked", Duration::from_secs(10), RequestOutcome::Failed);
+    recorder.record_outcome("early", Duration::from_secs(8), RequestOutcome::Cut);
+    recorder.record_outcome("late", Duration::from_secs(9), RequestOutcome::Served);
+    recorder.record_outcome("later", Duration::from_secs(10), RequestOutcome::Refused);
+    expect_that!(recorder.recovery(), eq((0.5, 2)));
 }
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! Short runs of the soak: seeds that failed once.
+//! Short runs of the soak with seeds that found faults before.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use coltsfootnotch_soak::prelude::*;
 use googletest::prelude::*;
 
-/// The platform's program, which the workspace's tests build beside their own.
+/// Path of the platform's program, which the workspace's tests build into the target folder.
 fn binary() -> PathBuf {
-    let own = std::env::current_exe().expect("a test has a path");
-    let folder = own.parent().and_then(|deps| deps.parent());
+    let test_binary = std::env::current_exe().expect("a test has a path");
+    let folder = test_binary.parent().and_then(|deps| deps.parent());
     let binary = folder
         .expect("a target folder")
         .join("coltsfootnotch-platform");
@@ -21,27 +21,27 @@
     binary
 }
 
-/// Plays a seed. Few clients: what is checked is what happens to them, not how many there can be.
-fn play(seed: u64) -> Vec<Finding> {
-    play_with(seed, false)
+/// Runs a seed with few clients and returns the findings.
+fn run_seed(seed: u64) -> Vec<Finding> {
+    run_with(seed, false)
 }
 
-fn play_with(seed: u64, replaces: bool) -> Vec<Finding> {
+fn run_with(seed: u64, replaces_hosts: bool) -> Vec<Finding> {
     let folder = tempfile::tempdir().unwrap();
     let soak = Soak {
         seed,
         length: Duration::from_secs(30),
-        shape: Shape {
+        size: FleetSize {
             controls: 3,
             routers: 3,
             upstreams: 6,
         },
         clients: 2,
-        replaces,
+        replaces_hosts,
         binary: binary(),
         block: 250 - (seed % 100) as u8,
         folder: folder.path().to_owned(),
-        prints: false,
+        prints_steps: false,
     };
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let outcome = runtime.block_on(soak.run()).unwrap();
@@ -53,29 +53,29 @@
     outcome.findings
 }
 
-/// A caller was cut off. The router was told to stop a second time while it stopped, and ended at once.
+/// Guards against requests cut by a second stop signal: the router exited at once instead of draining.
 #[googletest::test]
-fn seed_2_a_second_signal_to_stop() {
-    expect_that!(play(2), is_empty());
+fn seed_2_a_second_stop_signal_cuts_no_request() {
+    expect_that!(run_seed(2), is_empty());
 }
 
-/// Callers were refused everywhere for a minute. An upstream crashed while it ran several requests that
-/// asked the same, and each counted as a crash that the content had caused.
+/// Guards against one crash counted several times: an upstream crashed while it ran several requests with the
+/// same content, which was then refused everywhere for a minute.
 #[googletest::test]
-fn seed_7_one_crash_counted_for_many() {
-    expect_that!(play(7), is_empty());
+fn seed_7_one_crash_is_counted_once() {
+    expect_that!(run_seed(7), is_empty());
 }
 
-/// Guards against a control group that ends with its second loss, or whose members don't find each other
-/// any more: control hosts go for good and others come at new addresses, among all other trouble.
+/// Guards against a control group that loses its quorum at the second loss, or whose members no longer
+/// discover each other, when control hosts are replaced at new addresses under other faults.
 #[googletest::test]
 fn seed_1001_control_hosts_are_replaced() {
-    expect_that!(play_with(1001, true), is_empty());
+    expect_that!(run_with(1001, true), is_empty());
 }
 
-/// The same: upstreams crashed three times within a minute, and what was asked for all the while was
-/// taken for the cause.
+/// Guards against blaming a popular request for crashes: upstreams crashed three times within a minute, and
+/// content requested all along was identified as the cause.
 #[googletest::test]
-fn seed_111_a_popular_request_taken_for_the_cause() {
-    expect_that!(play(111), is_empty());
+fn seed_111_a_popular_request_is_not_identified_as_the_cause() {
+    expect_that!(run_seed(111), is_empty());
 }
