--- a/tests/events.rs
+++ b/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events in the code and the page about it hold the same events.
+//! `docs/EVENTS.md` matches the event catalogue in the code.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 const PAGE: &str = include_str!("../docs/EVENTS.md");
 
-/// The row of each event as `docs/EVENTS.md` must print it.
+/// Returns the expected table rows of `docs/EVENTS.md`.
 fn rows() -> Vec<String> {
     let row = |event: &&coltsfootnotch::util::events::EventDef| {
         let level = event.level.to_string().to_lowercase();
@@ -21,10 +21,10 @@
     CATALOGUE.iter().map(row).collect()
 }
 
-// An operator looks up an event of a log line and finds nothing, or the advice for another one: the
-// page was not changed together with the code. The rows are printed by `cargo run --example events`.
+// Guards against a page that misses events or describes other ones. `cargo run --example events` prints the
+// rows.
 #[gtest]
-fn the_page_holds_the_catalogue() {
+fn the_page_matches_the_catalogue() {
     let printed: Vec<&str> = PAGE
         .lines()
         .filter(|line| line.starts_with("| CFN-"))
@@ -32,7 +32,7 @@
     expect_that!(printed, eq(&rows()));
 }
 
-// Two events with one number: `explain` tells the operator about the wrong one.
+// Guards against two events with one number, of which `explain` finds only the first.
 #[gtest]
 fn numbers_are_unique_and_ascend() {
     let numbers: Vec<u16> = CATALOGUE.iter().map(|event| event.number).collect();
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages in docs/ say what the code does.
+//! The pages in `docs/` match the code.
 
 #[path = "../examples/embed_late_binding.rs"]
 #[expect(dead_code, reason = "the example's own main")]
@@ -14,7 +14,7 @@
 use coltsfootnotch_state::{ConfigReply, Reply};
 use googletest::prelude::*;
 
-const REFUSALS_HEAD: &str = "| type | status | run | Retry-After | message |";
+const REFUSALS_HEADER: &str = "| type | status | run | Retry-After | message |";
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).to_owned()
@@ -25,9 +25,9 @@
     fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// The cells of the rows of the table whose head line begins with `head`.
-fn rows(page: &str, head: &str) -> Vec<Vec<String>> {
-    let lines = page.lines().skip_while(|line| !line.starts_with(head));
+/// Returns the cells of the table whose header row starts with `header`.
+fn rows(page: &str, header: &str) -> Vec<Vec<String>> {
+    let lines = page.lines().skip_while(|line| !line.starts_with(header));
     let rows = lines.skip(2).take_while(|line| line.starts_with('|'));
     let cells = |line: &str| {
         let cells = line.trim_matches('|').split('|');
@@ -37,9 +37,9 @@
 }
 
 #[googletest::test]
-fn the_table_of_refusals_is_that_of_the_code() {
-    let page = rows(&page("INTERFACE.md"), REFUSALS_HEAD);
-    let stated: Vec<[String; 3]> = page
+fn the_table_of_refusals_matches_the_code() {
+    let page = rows(&page("INTERFACE.md"), REFUSALS_HEADER);
+    let documented: Vec<[String; 3]> = page
         .iter()
         .map(|row| [row[0].clone(), row[1].clone(), row[4].clone()])
         .collect();
@@ -50,12 +50,12 @@
         [name, status, kind.to_string()]
     };
     let expected: Vec<[String; 3]> = RefusalKind::ALL.iter().map(in_code).collect();
-    expect_that!(stated, eq(&expected));
+    expect_that!(documented, eq(&expected));
 }
 
-/// A kind that is missing from the list would be missing from the page as well.
+/// Guards against a kind that is missing from both `ALL` and the page.
 #[googletest::test]
-fn the_list_of_refusals_is_whole() {
+fn all_refusal_kinds_are_listed() {
     let source = include_str!("../src/coltsfootnotch/core/refusal.rs");
     let variants = source
         .lines()
@@ -66,17 +66,17 @@
 }
 
 #[googletest::test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_are_valid() {
     let mut broken = vec![];
     let mut pages: Vec<PathBuf> = vec![root().join("README.md"), root().join("CHANGELOG.md")];
     for folder in ["docs", "docs/design"] {
-        let entries = fs::read_dir(root().join(folder)).expect("the folder of the pages");
+        let entries = fs::read_dir(root().join(folder)).expect("the docs folder is readable");
         let files = entries.filter_map(|entry| entry.ok().map(|entry| entry.path()));
         pages.extend(files.filter(|path| path.extension().is_some_and(|ext| ext == "md")));
     }
     for path in &pages {
         let text = fs::read_to_string(path).unwrap_or_default();
-        let folder = path.parent().expect("a page lies in a folder");
+        let folder = path.parent().expect("a page has a parent folder");
         for link in text
             .split("](")
             .skip(1)
@@ -91,11 +91,12 @@
     expect_that!(broken, is_empty());
 }
 
-/// Every note in docs/design/ is in the index of docs/DESIGN.md.
+/// `docs/DESIGN.md` links every note in `docs/design/`.
 #[googletest::test]
 fn design_notes_are_indexed() {
     let index = page("DESIGN.md");
-    let notes = fs::read_dir(root().join("docs/design")).expect("the folder of the notes");
+    let notes = fs::read_dir(root().join("docs/design"))
+        .expect("the folder of the design notes is readable");
     let names = notes.filter_map(|note| note.ok()?.file_name().into_string().ok());
     let missing: Vec<String> = names
         .filter(|name| !index.contains(&format!("](design/{name})")))
@@ -103,9 +104,10 @@
     expect_that!(missing, is_empty());
 }
 
-/// The embedded log answers a race of two operators as EMBEDDING.md says.
+/// Of two conflicting configurations one is accepted, and a repeated one gets the same reply, as EMBEDDING.md
+/// says.
 #[googletest::test]
-fn the_example_of_the_log_runs() -> googletest::Result<()> {
+fn the_log_example_runs() -> googletest::Result<()> {
     let replies = embed_log::run().or_fail()?;
     let accepted = matches_pattern!(Reply::Config(matches_pattern!(
         ConfigReply::Accepted { .. }
@@ -118,9 +120,9 @@
     Ok(())
 }
 
-/// The account that came last is served among the first, not behind the other's twenty.
+/// A small account isn't queued behind the twenty earlier requests of another account.
 #[googletest::test]
-fn the_example_of_late_binding_runs() -> googletest::Result<()> {
+fn the_late_binding_example_runs() -> googletest::Result<()> {
     let started = embed_late_binding::run().or_fail()?;
     expect_that!(started.len(), eq(22));
     let small = started
--- a/tests/testsuite/commands.rs
+++ b/tests/testsuite/commands.rs
@@ -1,4 +1,4 @@
-//! What the operators' commands print and exit with, without a fleet.
+//! Output and exit codes of the operators' commands, without a fleet.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -13,7 +13,7 @@
         .current_dir(folder)
         .args(args)
         .output()
-        .expect("the command runs")
+        .expect("the command starts")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -21,11 +21,11 @@
 }
 
 fn folder() -> TempDir {
-    TempDir::new().expect("a folder")
+    TempDir::new().expect("a temporary folder")
 }
 
 #[gtest]
-fn check_prints_the_findings_of_all_files_together_and_exits_with_1() {
+fn check_prints_the_findings_of_all_files_and_exits_with_1() {
     let folder = folder();
     fs::write(
         folder.path().join("a.jsonc"),
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn check_has_nothing_to_say_about_the_examples() {
+fn check_reports_no_findings_for_the_examples() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let files = [
         "examples/kelani/manifest.jsonc",
@@ -58,10 +58,10 @@
     expect_that!(text(&output.stdout), eq("{\"files\":2,\"findings\":[]}\n"));
 }
 
-/// A private key that is replaced by accident shuts its host out of the fleet, and one that others
-/// can read lets them in: so it is private, and kept unless the operator says otherwise.
+/// Guards against private keys that other users can read, and against overwriting the key of a running host
+/// by accident.
 #[gtest]
-fn keys_are_private_and_kept() {
+fn keys_are_private_and_not_overwritten() {
     let folder = folder();
     let at = folder.path();
     expect_that!(
@@ -93,7 +93,7 @@
 }
 
 #[gtest]
-fn keys_for_an_example_are_where_its_settings_expect_them() {
+fn keys_for_an_example_are_written_where_its_settings_expect_them() {
     let folder = folder();
     let hosts = folder.path().join("hosts");
     fs::create_dir(&hosts).unwrap();
@@ -105,11 +105,11 @@
         run(folder.path(), &["keys", "for", "."]).status.code(),
         some(eq(0))
     );
-    let mut made: Vec<_> = fs::read_dir(folder.path().join("keys"))
+    let mut created: Vec<_> = fs::read_dir(folder.path().join("keys"))
         .unwrap()
         .map(|entry| entry.unwrap().file_name().into_string().unwrap())
         .collect();
-    made.sort();
+    created.sort();
     let expected = [
         "ca.key",
         "ca.pem",
@@ -120,14 +120,14 @@
         "spec-llm-01.key",
         "spec-llm-01.pem",
     ];
-    expect_that!(made, eq(&expected));
+    expect_that!(created, eq(&expected));
     let again = text(&run(folder.path(), &["keys", "for", "."]).stdout);
     expect_that!(again, contains_substring("kept"));
     expect_that!(again, not(contains_substring("wrote")));
 }
 
 #[gtest]
-fn explain_says_what_an_event_means() {
+fn explain_describes_an_event() {
     let folder = folder();
     let output = run(folder.path(), &["explain", "CFN-0042"]);
     expect_that!(output.status.code(), some(eq(0)));
@@ -139,9 +139,9 @@
     expect_that!(output.status.code(), some(eq(1)));
 }
 
-/// No control host answers: the pipeline can tell that from a refusal by the exit code.
+/// An unreachable fleet has its own exit code, which differs from that of a refusal.
 #[gtest]
-fn a_fleet_that_does_not_answer_is_told_apart() {
+fn an_unreachable_fleet_has_its_own_exit_code() {
     let folder = folder();
     run(folder.path(), &["keys", "init", "keys"]);
     let output = run(
@@ -170,7 +170,7 @@
 }
 
 #[gtest]
-fn the_shell_completes_commands() {
+fn shell_completion_is_available() {
     let folder = folder();
     let output = run(folder.path(), &["--bpaf-complete-style-bash"]);
     expect_that!(text(&output.stdout), contains_substring("complete"));
--- a/tests/testsuite/demo.rs
+++ b/tests/testsuite/demo.rs
@@ -1,10 +1,10 @@
-//! The README's first command.
+//! The demo, the first command of the README.
 
 use coltsfootnotch::ops::demo::{DemoOptions, demo};
 use googletest::prelude::*;
 
 #[gtest]
-fn the_demo_shows_six_right_answers_and_one_booking() {
+fn the_demo_prints_six_correct_answers() {
     let mut out = Vec::new();
     let opts = DemoOptions {
         once: true,
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The daemons as a whole.
+//! Tests of the complete daemons.
 
 mod bad_input;
 mod bootstrap_runs;
--- a/tests/testsuite/trace.rs
+++ b/tests/testsuite/trace.rs
@@ -1,4 +1,4 @@
-//! From a request's identity to its cause, by the logs of several hosts.
+//! `trace` finds the cause of a request's failure in the logs of several hosts.
 
 use std::fs;
 use std::path::Path;
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 
-/// What three hosts wrote while a control host was cut off, an engine was lost and a host stopped.
+/// Logs of three hosts while a control host was disconnected, an upstream was lost and a host stopped.
 const LOGS: [(&str, &str); 3] = [
     (
         "colombo-2.log",
@@ -56,22 +56,22 @@
 }
 
 #[googletest::test]
-fn a_refusal_leads_to_what_the_host_had_lost() {
+fn a_refusal_is_traced_to_the_unconfirmed_configuration() {
     insta::assert_snapshot!(printed("r-refused"));
 }
 
 #[googletest::test]
-fn a_broken_stream_leads_to_its_upstream() {
+fn a_broken_stream_is_traced_to_its_upstream() {
     insta::assert_snapshot!(printed("r-broken"));
 }
 
 #[googletest::test]
-fn a_refusal_by_a_stopping_host_leads_to_the_stop() {
+fn a_refusal_by_a_stopping_host_is_traced_to_the_shutdown() {
     insta::assert_snapshot!(printed("r-stopping"));
 }
 
 #[googletest::test]
-fn an_unknown_request_is_said_to_be_unknown() {
+fn an_unknown_request_is_reported() {
     let output = trace("r-nobody");
     expect_that!(output.status.code(), some(eq(1)));
     let text = String::from_utf8(output.stderr).unwrap();
