--- a/src/coltsfootnotch/daemon/control/daemon/maintenance.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/maintenance.rs
@@ -68,8 +68,8 @@
         match self.replica.core_mut().bootstrap(now, members.voters) {
             Ok(()) => self
                 .host
-                .log(&events::GROUP_FOUNDED, &[("voters", &voters)]),
-            Err(e) => self.host.log(&events::FOUND_REFUSED, &[("reason", &e)]),
+                .log(&events::GROUP_BOOTSTRAPPED, &[("voters", &voters)]),
+            Err(e) => self.host.log(&events::BOOTSTRAP_FAILED, &[("reason", &e)]),
         }
     }
 
--- a/src/coltsfootnotch/daemon/control/seeded/handlers.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/handlers.rs
@@ -113,7 +113,7 @@
         seeded.no_group_log_due = now + NO_GROUP_LOG_INTERVAL;
         let connected = seeded.discovery.connected().count();
         self.host.log(
-            &events::NO_GROUP_YET,
+            &events::NO_GROUP,
             &[("reason", why), ("control_hosts", &connected)],
         );
     }
--- a/src/coltsfootnotch/daemon/entry/actor.rs
+++ b/src/coltsfootnotch/daemon/entry/actor.rs
@@ -258,7 +258,7 @@
             FromSidecar::Crashed(crash) => {
                 let count = crash.suspects.len();
                 let fields: [Field<'_>; 2] = [("upstream", &crash.upstream), ("suspects", &count)];
-                self.cx.log(&events::REQUEST_SUSPECTED, &fields);
+                self.cx.log(&events::CRASH_SUSPECTED, &fields);
                 self.suspects.on_crash(now, crash);
             }
             FromSidecar::Cleared { key, crashes } => self.suspects.on_cleared(now, &key, &crashes),
--- a/src/coltsfootnotch/daemon/entry/attempt_task.rs
+++ b/src/coltsfootnotch/daemon/entry/attempt_task.rs
@@ -251,7 +251,7 @@
             .increment(1);
         let attempt = self.begin.attempt;
         self.cx.log(
-            &events::ANSWER_DROPPED,
+            &events::RESPONSE_CHUNK_DROPPED,
             &[("attempt", &attempt), ("how", &how)],
         );
     }
--- a/src/coltsfootnotch/daemon/entry/attempts.rs
+++ b/src/coltsfootnotch/daemon/entry/attempts.rs
@@ -288,7 +288,7 @@
         if active.req.ledger_key.is_some() {
             active.fire(RequestEvent::OutcomeLost);
             self.cx
-                .log(&events::BOOKING_IN_DOUBT, &[("attempt", &chosen.attempt)]);
+                .log(&events::OUTCOME_UNKNOWN, &[("attempt", &chosen.attempt)]);
         } else {
             active.fire(RequestEvent::AttemptFailed);
         }
--- a/src/coltsfootnotch/daemon/forward/actor/control_messages.rs
+++ b/src/coltsfootnotch/daemon/forward/actor/control_messages.rs
@@ -40,7 +40,8 @@
         if let Some((selected, peer)) = self.links.selected()
             && selected == link
         {
-            self.cx.log(&events::FOLLOWED, &[("peer", peer)]);
+            self.cx
+                .log(&events::CONTROL_HOST_CHANGED, &[("peer", peer)]);
         }
     }
 
@@ -128,7 +129,7 @@
             Ok(config) => config,
             Err(e) => {
                 self.cx.log(
-                    &events::CONFIG_REFUSED,
+                    &events::CONFIG_UNDECODABLE,
                     &[("number", &body.number), ("error", &e)],
                 );
                 return;
--- a/src/coltsfootnotch/daemon/forward/actor/maintenance.rs
+++ b/src/coltsfootnotch/daemon/forward/actor/maintenance.rs
@@ -86,7 +86,7 @@
         };
         let (pause_ms, limit_ms) = (pause.time.as_millis(), limit.as_millis());
         self.cx.log(
-            &events::BACKLOG_CUT,
+            &events::BACKLOG_LIMIT_LOWERED,
             &[
                 ("upstream", &pause.upstream),
                 ("pause_ms", &pause_ms),
--- a/src/coltsfootnotch/daemon/forward/actor/mod.rs
+++ b/src/coltsfootnotch/daemon/forward/actor/mod.rs
@@ -273,7 +273,7 @@
         let now = self.cx.now();
         after!(TICK, [cx], tick());
         if self.pause_detector.tick(self.boot_clock.now()) {
-            self.cx.log(&events::STOOD_STILL, &[]);
+            self.cx.log(&events::PROCESS_PAUSED, &[]);
         }
         // The lease is measured by the clock that includes time while the host is suspended.
         self.links.request_lease(self.boot_clock.now(), self.number);
--- a/src/coltsfootnotch/daemon/forward/attempts.rs
+++ b/src/coltsfootnotch/daemon/forward/attempts.rs
@@ -99,7 +99,7 @@
         let fields: [Field<'_>; 2] = [("upstream", &upstream), ("outcome", &outcome)];
         match &result {
             AttemptResult::Done(_) => self.log_sample(&events::REQUEST_ANSWERED, req, &fields),
-            _ => self.log(&events::TRY_FAILED, req, &fields),
+            _ => self.log(&events::UPSTREAM_REQUEST_FAILED, req, &fields),
         }
         result
     }
--- a/src/coltsfootnotch/daemon/forward/stream.rs
+++ b/src/coltsfootnotch/daemon/forward/stream.rs
@@ -277,7 +277,7 @@
         let upstream = failed.first().map_or("-", |id| id);
         let outcome = format!("{outcome:?}");
         self.gw.log(
-            &events::STREAM_BROKEN_OFF,
+            &events::STREAM_ABORTED,
             &self.req,
             &[
                 ("upstream", &upstream),
--- a/src/coltsfootnotch/daemon/relay_client.rs
+++ b/src/coltsfootnotch/daemon/relay_client.rs
@@ -329,7 +329,7 @@
             Ok(manifest) => manifest,
             Err(e) => {
                 self.cx.log(
-                    &events::CONFIG_REFUSED,
+                    &events::CONFIG_UNDECODABLE,
                     &[("number", &body.number), ("cause", &e)],
                 );
                 return None;
--- a/src/coltsfootnotch/daemon/sidecar/announced.rs
+++ b/src/coltsfootnotch/daemon/sidecar/announced.rs
@@ -82,7 +82,7 @@
         let propose = |command| relay.propose(command);
         for (upstream, call) in self.orders.tick(now, config.as_deref(), propose) {
             self.cx.log(
-                &events::ORDER_GIVEN,
+                &events::ORDER_SENT,
                 &[
                     ("upstream", &upstream),
                     ("order", &call.order),
@@ -111,7 +111,7 @@
                 .for_each(|slots| slots.on_version_change(now));
         }
         let event = match end {
-            OrderEnd::Done => &events::ORDER_DONE,
+            OrderEnd::Done => &events::ORDER_COMPLETED,
             OrderEnd::OldNumber => &events::ORDER_REFUSED,
             OrderEnd::Status(_) | OrderEnd::NoAnswer => &events::ORDER_FAILED,
         };
