--- a/examples/slopes/backlog.rs
+++ b/examples/slopes/backlog.rs
@@ -58,7 +58,7 @@
 }
 
 fn ask(fleet: &Fleet, accounts: usize) -> Result<Vec<TcpStream>, FleetError> {
-    let entries = fleet.callers();
+    let entries = fleet.http_addresses();
     let ask = |number: usize| {
         let at = entries[number % entries.len()];
         open(at, &account(number % accounts), number, TOKENS)
--- a/examples/slopes/requests.rs
+++ b/examples/slopes/requests.rs
@@ -39,7 +39,7 @@
         accounts: ACCOUNTS,
     })?;
     let engines: Vec<SocketAddr> = fleet.engines().iter().map(|e| e.address()).collect();
-    let entries = fleet.callers();
+    let entries = fleet.http_addresses();
     for &tokens in sizes {
         let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
         let (direct, failed_direct) = cost(&engines, tokens);
@@ -80,7 +80,7 @@
         let idle = used(&fleet, || thread::sleep(IDLE));
         let mut failed = 0;
         let busy = used(&fleet, || {
-            (_, failed) = cost(&fleet.callers(), ENTRY_TOKENS);
+            (_, failed) = cost(&fleet.http_addresses(), ENTRY_TOKENS);
         });
         let each = |busy_bytes: u64, idle_bytes: u64| {
             let idle_bytes = idle_bytes as f64 * busy.seconds / idle.seconds;
--- a/examples/slopes/streams.rs
+++ b/examples/slopes/streams.rs
@@ -41,12 +41,12 @@
             token: Duration::from_millis(2),
             accounts: ACCOUNTS,
         })?;
-        warm_up(&fleet.callers());
+        warm_up(&fleet.http_addresses());
         fleet
             .engines()
             .iter()
             .for_each(|engine| engine.set_slowdown(SLOWDOWN));
-        let (through, running) = grown(&fleet, &fleet.callers(), streams);
+        let (through, running) = grown(&fleet, &fleet.http_addresses(), streams);
         let engines: Vec<_> = fleet
             .engines()
             .iter()
--- a/src/bin/coltsfootnotch/cli.rs
+++ b/src/bin/coltsfootnotch/cli.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use bpaf::{OptionParser, Parser, construct};
-use coltsfootnotch::ops::error::{Failure, OpsError};
+use coltsfootnotch::ops::error::{FailureKind, OpsError};
 use coltsfootnotch::util::print_causes;
 
 use crate::commands::{self, Command};
@@ -54,11 +54,11 @@
 }
 
 fn exit_code(error: &(dyn Error + 'static)) -> u8 {
-    let failure = error.downcast_ref().map(OpsError::failure);
-    match failure {
-        None | Some(Failure::Failed) => EXIT_FAILED,
-        Some(Failure::Refused) => EXIT_REFUSED,
-        Some(Failure::Unanswered) => EXIT_UNANSWERED,
+    let kind = error.downcast_ref().map(OpsError::kind);
+    match kind {
+        None | Some(FailureKind::Failed) => EXIT_FAILED,
+        Some(FailureKind::Refused) => EXIT_REFUSED,
+        Some(FailureKind::Unanswered) => EXIT_UNANSWERED,
     }
 }
 
--- a/src/bin/coltsfootnotch/commands/access.rs
+++ b/src/bin/coltsfootnotch/commands/access.rs
@@ -28,7 +28,7 @@
     let without_keys = long("without-keys")
         .help("the fleet has no keys of its own and takes any, as on the users' platform")
         .switch();
-    let patience = long("timeout")
+    let timeout = long("timeout")
         .help("how long to wait for the fleet, in seconds")
         .argument::<u64>("S")
         .fallback(PATIENCE_S)
@@ -39,7 +39,7 @@
         control,
         keys,
         without_keys,
-        patience
+        timeout
     })
 }
 
--- a/src/coltsfootnotch/daemon/entry/response_body.rs
+++ b/src/coltsfootnotch/daemon/entry/response_body.rs
@@ -10,7 +10,7 @@
 use super::ResponsePart;
 use super::request_handler::DisconnectGuard;
 use crate::core::Refusal;
-use crate::util::http_server::BrokenOff;
+use crate::util::http_server::BodyAborted;
 
 /// Streams chunks as they arrive; a response that can't be completed ends with an `error` event.
 pub(super) struct ResponseBody {
@@ -41,12 +41,12 @@
 
 impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         loop {
             if self.finished {
                 return Poll::Ready(None);
--- a/src/coltsfootnotch/daemon/forward/stream.rs
+++ b/src/coltsfootnotch/daemon/forward/stream.rs
@@ -18,7 +18,7 @@
 use super::messages::{ForwardMsg, Outcome, PlacementError, StreamPause, Ticket};
 use super::server::Gateway;
 use crate::util::events;
-use crate::util::http_server::{AnyResponse, BrokenOff};
+use crate::util::http_server::{AnyResponse, BodyAborted};
 
 /// Chunks that are queued for a slow caller before backpressure reaches the upstream.
 const MAX_QUEUED_CHUNKS: usize = 16;
@@ -168,7 +168,7 @@
 struct Forwarder {
     gw: Arc<Gateway>,
     req: Arc<MatchedRequest>,
-    tx: mpsc::Sender<Result<Bytes, BrokenOff>>,
+    tx: mpsc::Sender<Result<Bytes, BodyAborted>>,
 }
 
 impl Forwarder {
@@ -221,7 +221,7 @@
                 Ok(received) => received,
                 Err(reason) => {
                     self.log_broken_off(&failed, &events, outcome, reason);
-                    let _result = self.tx.send(Err(BrokenOff)).await;
+                    let _result = self.tx.send(Err(BodyAborted)).await;
                     return;
                 }
             };
@@ -340,17 +340,17 @@
 
 /// Response body of a stream.
 struct StreamBody {
-    chunks: mpsc::Receiver<Result<Bytes, BrokenOff>>,
+    chunks: mpsc::Receiver<Result<Bytes, BodyAborted>>,
 }
 
 impl Body for StreamBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         let chunk = std::task::ready!(self.chunks.poll_recv(cx));
         Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
     }
--- a/src/coltsfootnotch/ops/access.rs
+++ b/src/coltsfootnotch/ops/access.rs
@@ -61,7 +61,7 @@
     /// Whether the fleet has no keys of its own and takes any; its network is the boundary then.
     pub without_keys: bool,
     /// How long to wait for the control group.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// A connection, and the runtime that carries it.
@@ -89,7 +89,7 @@
             .enable_all()
             .build()?;
         let client =
-            OperatorClient::connect(runtime.handle(), &credentials, &control, self.patience)?;
+            OperatorClient::connect(runtime.handle(), &credentials, &control, self.timeout)?;
         Ok(Connected {
             client,
             runtime: Some(runtime),
--- a/src/coltsfootnotch/ops/apply.rs
+++ b/src/coltsfootnotch/ops/apply.rs
@@ -11,7 +11,7 @@
 
 use super::access::{Access, read};
 use super::error::OpsError;
-use super::fleet_status::{FleetStatus, in_force};
+use super::fleet_status::{FleetStatus, config_by_host};
 use super::operator_client::OperatorClient;
 
 /// Time between two looks at what the hosts have in force: a fraction of the second that a change
@@ -67,7 +67,7 @@
     let connected = opts.access.connect()?;
     let client = &connected.client;
     let sent = Instant::now();
-    let reply = client.apply(&manifest, opts.access.patience)?;
+    let reply = client.apply(&manifest, opts.access.timeout)?;
     let mut report = Report {
         number: manifest.number,
         digest: manifest.digest().to_string(),
@@ -138,7 +138,7 @@
     sent: Instant,
     opts: &ApplyOptions,
 ) -> Result<Spread, OpsError> {
-    let until = sent + opts.access.patience;
+    let until = sent + opts.access.timeout;
     loop {
         let spread = spread(client, manifest.number, sent)?;
         let done = spread.behind.is_empty() && !spread.in_force.is_empty();
@@ -155,7 +155,7 @@
         .iter()
         .map(|json| serde_json::from_str(json))
         .collect();
-    let hosts = in_force(&parsed?).into_iter();
+    let hosts = config_by_host(&parsed?).into_iter();
     let (has, lacks): (Vec<_>, Vec<_>) = hosts.partition(|(_, config)| *config >= number);
     let names = |hosts: Vec<(HostName, u64)>| hosts.into_iter().map(|(host, _)| host).collect();
     Ok(Spread {
--- a/src/coltsfootnotch/ops/demo.rs
+++ b/src/coltsfootnotch/ops/demo.rs
@@ -83,7 +83,7 @@
 }
 
 fn show(fleet: &Fleet) -> Result<Vec<Shown>, DemoError> {
-    let callers = fleet.callers();
+    let callers = fleet.http_addresses();
     let first = callers[0];
     let last = callers[callers.len() - 1];
     let agent: Agent = Agent::config_builder()
@@ -240,14 +240,14 @@
         )?;
     }
     writeln!(out)?;
-    for (number, address) in fleet.callers().iter().enumerate() {
+    for (number, address) in fleet.http_addresses().iter().enumerate() {
         writeln!(
             out,
             "entry-{} takes callers at http://{address}",
             number + 1
         )?;
     }
-    let address = fleet.callers()[0];
+    let address = fleet.http_addresses()[0];
     writeln!(
         out,
         "\ntry:\n  curl -N http://{address}/v1/chat/completions \\"
--- a/src/coltsfootnotch/ops/error.rs
+++ b/src/coltsfootnotch/ops/error.rs
@@ -14,7 +14,7 @@
 
 /// What a program that runs a command can tell apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Failure {
+pub enum FailureKind {
     /// It failed, or a text has findings.
     Failed,
     /// The group refused it; the same command will be refused again.
@@ -140,13 +140,15 @@
 impl OpsError {
     /// What a program can tell apart.
     #[must_use]
-    pub fn failure(&self) -> Failure {
+    pub fn kind(&self) -> FailureKind {
         match self {
-            Self::Conflict { .. } | Self::Stale { .. } | Self::Refused { .. } => Failure::Refused,
-            Self::Behind { .. } => Failure::Unanswered,
-            Self::Operator(e) if e.is_unanswered() => Failure::Unanswered,
-            Self::Operator(OperatorError::Members(_)) => Failure::Refused,
-            _ => Failure::Failed,
+            Self::Conflict { .. } | Self::Stale { .. } | Self::Refused { .. } => {
+                FailureKind::Refused
+            }
+            Self::Behind { .. } => FailureKind::Unanswered,
+            Self::Operator(e) if e.is_unanswered() => FailureKind::Unanswered,
+            Self::Operator(OperatorError::Members(_)) => FailureKind::Refused,
+            _ => FailureKind::Failed,
         }
     }
 
--- a/src/coltsfootnotch/ops/fleet/running.rs
+++ b/src/coltsfootnotch/ops/fleet/running.rs
@@ -118,7 +118,7 @@
 
     /// Addresses for callers.
     #[must_use]
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn http_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(EntryHandle::http_address).collect()
     }
 
--- a/src/coltsfootnotch/ops/fleet_status.rs
+++ b/src/coltsfootnotch/ops/fleet_status.rs
@@ -117,7 +117,7 @@
 ///
 /// A host never goes back to an earlier configuration, so the newest that anybody has seen holds.
 #[must_use]
-pub fn in_force(answers: &[FleetStatus]) -> BTreeMap<HostName, u64> {
+pub fn config_by_host(answers: &[FleetStatus]) -> BTreeMap<HostName, u64> {
     let mut newest = BTreeMap::new();
     let hosts = answers.iter().flat_map(|answer| &answer.hosts);
     for host in hosts.filter(|host| host.presence != "gone") {
@@ -129,7 +129,7 @@
 
 /// The answer to show: the leader's, since it has applied the most.
 #[must_use]
-pub fn best(answers: &[FleetStatus]) -> Option<&FleetStatus> {
+pub fn most_recent(answers: &[FleetStatus]) -> Option<&FleetStatus> {
     let leads = |answer: &&FleetStatus| answer.group.leader.as_ref() == Some(&answer.answered_by);
     let newest = |answer: &&FleetStatus| answer.group.applied;
     let leader = answers.iter().filter(leads).max_by_key(newest);
--- a/src/coltsfootnotch/ops/load/embedded.rs
+++ b/src/coltsfootnotch/ops/load/embedded.rs
@@ -159,7 +159,7 @@
 #[must_use]
 pub fn embedded_target(fleet: &Fleet, policy: Policy) -> Target<'_> {
     Target {
-        entries: fleet.callers(),
+        entries: fleet.http_addresses(),
         engines: fleet.engines(),
         services: fleet.services(),
         policy: policy.to_string(),
--- a/src/coltsfootnotch/ops/member.rs
+++ b/src/coltsfootnotch/ops/member.rs
@@ -39,7 +39,7 @@
     out: &mut impl Write,
 ) -> Result<(), OpsError> {
     let connected = access.connect()?;
-    let (client, patience) = (&connected.client, access.patience);
+    let (client, patience) = (&connected.client, access.timeout);
     match change {
         MemberChange::Add { host } => {
             client.admit(host, None, patience)?;
--- a/src/coltsfootnotch/ops/status.rs
+++ b/src/coltsfootnotch/ops/status.rs
@@ -8,7 +8,7 @@
 
 use super::access::Access;
 use super::error::OpsError;
-use super::fleet_status::{FleetStatus, MemberStatus, best};
+use super::fleet_status::{FleetStatus, MemberStatus, most_recent};
 use super::operator_client::{OperatorClient, OperatorError};
 
 /// Time for the other control hosts to connect once the first has.
@@ -36,9 +36,9 @@
 /// Returns an error when no control host answers.
 pub fn status(opts: &StatusOptions, out: &mut impl Write) -> Result<(), OpsError> {
     let connected = opts.access.connect()?;
-    std::thread::sleep(GATHER.min(opts.access.patience));
-    let answers = gather(&connected.client, opts.access.patience)?;
-    let fleet = best(&answers).ok_or(OperatorError::NoControl)?;
+    std::thread::sleep(GATHER.min(opts.access.timeout));
+    let answers = gather(&connected.client, opts.access.timeout)?;
+    let fleet = most_recent(&answers).ok_or(OperatorError::NoControl)?;
     let members = answers.iter().map(|answer| &answer.group).collect();
     let report = Report { members, fleet };
     if opts.json {
--- a/src/coltsfootnotch/util/http_server.rs
+++ b/src/coltsfootnotch/util/http_server.rs
@@ -30,10 +30,10 @@
 /// A body can't be completed: the connection is closed, so that its end does not look like the body's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("the answer was broken off")]
-pub struct BrokenOff;
+pub struct BodyAborted;
 
 /// A response body of any kind.
-pub type AnyBody = BoxBody<Bytes, BrokenOff>;
+pub type AnyBody = BoxBody<Bytes, BodyAborted>;
 /// A response.
 pub type AnyResponse = Response<AnyBody>;
 
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -128,7 +128,7 @@
 fn bad_requests_are_refused_and_the_entry_serves_on() {
     let mut rng = StdRng::seed_from_u64(7);
     let fleet = Fleet::start(&FleetPlan::demo(), &mut rng).unwrap();
-    let entry = fleet.callers()[0];
+    let entry = fleet.http_addresses()[0];
     insta::assert_snapshot!(typed_refusals(entry));
     send_garbage(entry, &mut rng);
     let many_headers = format!("GET / HTTP/1.1\r\n{}", "a: b\r\n".repeat(100_000));
--- a/tests/testsuite/limits.rs
+++ b/tests/testsuite/limits.rs
@@ -52,7 +52,7 @@
         .unwrap();
     limited.requests_per_s = Some(1);
     let fleet = Fleet::start(&plan, &mut StdRng::seed_from_u64(3)).unwrap();
-    let entry = fleet.callers()[0];
+    let entry = fleet.http_addresses()[0];
     let threads: Vec<_> = (0..REQUESTS)
         .map(|_| thread::spawn(move || chat(entry, LIMITED_ACCOUNT)))
         .collect();
--- a/tests/testsuite/processes/control_loss.rs
+++ b/tests/testsuite/processes/control_loss.rs
@@ -161,7 +161,7 @@
     }
     wait_until("every host has the last configuration", || {
         let answers = fleet.status();
-        let known = coltsfootnotch::ops::fleet_status::in_force(&answers);
+        let known = coltsfootnotch::ops::fleet_status::config_by_host(&answers);
         known.len() == fleet.daemons().count() && known.values().all(|number| *number == last)
     });
     let hosts = fleet.entries.iter().chain(&fleet.sidecars);
