--- a/src/coltsfootnotch/core/host_cx.rs
+++ b/src/coltsfootnotch/core/host_cx.rs
@@ -1,4 +1,4 @@
-//! What every part of one daemon is given: who it is, its clock, its runtime, its metrics.
+//! The context of a daemon: its identity, clock, runtime and metrics.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
@@ -9,34 +9,34 @@
 use crate::util::events::{EventDef, Field, log_event};
 use crate::util::metrics::Metrics;
 
-/// Who a daemon is.
+/// Identity of a daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostIdentity {
-    /// Its host.
+    /// Host name.
     pub host: HostName,
-    /// Its role.
+    /// Role in the fleet.
     pub role: Role,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: DomainName,
-    /// This run of its process.
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
 }
 
-/// The context of one daemon, passed explicitly; several daemons in one process each have their own.
+/// Context of a daemon, passed explicitly so that several daemons can run in one process.
 #[derive(Debug, Clone)]
 pub struct HostCx {
-    /// Who the daemon is.
+    /// Identity of the daemon.
     pub identity: Arc<HostIdentity>,
-    /// Runs the tasks that own sockets.
+    /// Runtime for the tasks that own sockets.
     pub runtime: Handle,
-    /// Counters and histograms.
+    /// Metrics registry.
     pub metrics: Metrics,
     started: Instant,
     started_at: u64,
 }
 
 impl HostCx {
-    /// A context for a daemon that starts now.
+    /// Creates the context of a daemon that starts now.
     #[must_use]
     pub fn new(identity: HostIdentity, runtime: Handle) -> Self {
         Self {
@@ -44,31 +44,31 @@
             runtime,
             metrics: Metrics::new(),
             started: Instant::now(),
-            started_at: calendar_seconds(),
+            started_at: unix_seconds(),
         }
     }
 
-    /// Time since the daemon started; it never goes back.
+    /// Time since the daemon started, by the monotonic clock.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Seconds of the calendar at the start. A hint only: clocks of hosts are not relied upon.
+    /// Start time in seconds since the Unix epoch; a hint only, since host clocks may be wrong.
     #[must_use]
     pub fn started_at(&self) -> u64 {
         self.started_at
     }
 
-    /// Writes a numbered event.
+    /// Logs an event and counts it.
     pub fn log(&self, event: &EventDef, fields: &[Field<'_>]) {
         self.metrics.count_event(event);
         log_event(&self.identity, event, fields);
     }
 }
 
-/// Seconds since 1970; zero on a clock that stands before.
-fn calendar_seconds() -> u64 {
+/// Seconds since the Unix epoch; zero if the clock is set to an earlier time.
+fn unix_seconds() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| since.as_secs())
 }
--- a/src/coltsfootnotch/core/mod.rs
+++ b/src/coltsfootnotch/core/mod.rs
@@ -1,4 +1,4 @@
-//! Types of the daemons' own domain.
+//! Types shared by the daemons.
 
 mod host_cx;
 mod proposal;
--- a/src/coltsfootnotch/core/proposal.rs
+++ b/src/coltsfootnotch/core/proposal.rs
@@ -1,30 +1,30 @@
-//! The bytes of a proposal and of its answer between a host and the control group.
+//! Encodes proposals and their replies between a host and the control group.
 //!
-//! A host sends an [`Op`] without a time; the leader stamps the time and makes it a
-//! [`Command`](coltsfootnotch_state::Command) of the log. The answer is a [`Reply`]. Both travel
-//! inside [`ToRelay::Propose`](coltsfootnotch_wire::ToRelay) and
-//! [`FromRelay::Proposed`](coltsfootnotch_wire::FromRelay), and are encoded only here.
+//! A host sends an [`Op`]; the leader adds a timestamp and appends it to the log as a
+//! [`Command`](coltsfootnotch_state::Command). The result is a [`Reply`]. They are carried as bytes
+//! in [`ToRelay::Propose`](coltsfootnotch_wire::ToRelay) and
+//! [`FromRelay::Proposed`](coltsfootnotch_wire::FromRelay).
 
 use coltsfootnotch_state::{Op, Reply};
 use derive_more::{Display, Error, From};
 use serde::de::DeserializeOwned;
 
-/// Why bytes are not a proposal or an answer.
+/// Why a proposal or a reply can't be decoded.
 #[derive(Debug, Display, Error, From)]
 pub enum ProposalError {
-    /// The codec refused the bytes.
-    #[display("a proposal can't be decoded")]
+    /// The bytes are not valid.
+    #[display("a proposal or reply can't be decoded")]
     Codec(postcard::Error),
-    /// Bytes are left over.
-    #[display("a proposal is followed by {len} more bytes")]
+    /// Extra bytes follow the value.
+    #[display("a proposal or reply is followed by {len} extra bytes")]
     #[from(skip)]
     Trailing {
-        /// How many bytes are left over.
+        /// Number of extra bytes.
         len: usize,
     },
 }
 
-/// The bytes of an operation, for [`ToRelay::Propose`](coltsfootnotch_wire::ToRelay).
+/// Encodes an operation for [`ToRelay::Propose`](coltsfootnotch_wire::ToRelay).
 ///
 /// ```
 /// use coltsfootnotch::core::{decode_op, encode_op};
@@ -40,7 +40,7 @@
     postcard::to_allocvec(op).expect("an operation can be encoded")
 }
 
-/// Reads what [`encode_op`] wrote.
+/// Decodes an operation encoded by [`encode_op`].
 ///
 /// # Errors
 /// Returns a [`ProposalError`] when the bytes are not an operation.
@@ -48,19 +48,19 @@
     decode(bytes)
 }
 
-/// The bytes of an answer, for [`FromRelay::Proposed`](coltsfootnotch_wire::FromRelay).
+/// Encodes a reply for [`FromRelay::Proposed`](coltsfootnotch_wire::FromRelay).
 ///
 /// # Panics
-/// Never: every field of an answer can be encoded, and a vector takes any length.
+/// Never: every field of a reply can be encoded, and a vector takes any length.
 #[must_use]
 pub fn encode_reply(reply: &Reply) -> Vec<u8> {
-    postcard::to_allocvec(reply).expect("an answer can be encoded")
+    postcard::to_allocvec(reply).expect("a reply can be encoded")
 }
 
-/// Reads what [`encode_reply`] wrote.
+/// Decodes a reply encoded by [`encode_reply`].
 ///
 /// # Errors
-/// Returns a [`ProposalError`] when the bytes are not an answer.
+/// Returns a [`ProposalError`] when the bytes are not a reply.
 ///
 /// ```
 /// use coltsfootnotch::core::{decode_reply, encode_reply};
--- a/src/coltsfootnotch/core/refusal.rs
+++ b/src/coltsfootnotch/core/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when it does not get an answer.
+//! Error responses to callers: kinds, HTTP status and JSON body.
 
 use std::time::Duration;
 
@@ -7,77 +7,77 @@
 use hyper::StatusCode;
 use serde::Serialize;
 
-/// Kinds of refusals and failures; the name is part of the interface.
+/// Kinds of refusals and failures; their serialized names are part of the HTTP interface.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// No or an unknown bearer key.
+    /// The bearer key is missing or unknown.
     #[display("the bearer key is missing or not known")]
     Unauthenticated,
-    /// The account may not do this.
+    /// The account is not allowed to do this.
     #[display("the client account may not do this")]
     Forbidden,
-    /// No such path, model or service.
+    /// The path, model or service does not exist.
     #[display("there is no such path, model or service")]
     NotFound,
     /// The request is malformed.
     #[display("the request is not valid")]
     BadRequest,
-    /// The call may not be repeated and carries no key.
+    /// The call may not be repeated and has no idempotency key.
     #[display("a call that may not be repeated needs an Idempotency-Key")]
     IdempotencyKeyMissing,
-    /// The key was used with another body.
+    /// The idempotency key was used with a different request.
     #[display("the Idempotency-Key was used with another request")]
     IdempotencyKeyReused,
-    /// The key is older than records are kept.
+    /// The idempotency key is older than the retention of records.
     #[display("the Idempotency-Key is too old to tell whether it was used")]
     IdempotencyKeyTooOld,
-    /// The same call is in progress.
+    /// A call with the same idempotency key is in progress.
     #[display("a call with this Idempotency-Key is in progress")]
     InProgress,
-    /// Whether an earlier call with the key ran is not known.
+    /// It is not known whether an earlier call with the idempotency key ran.
     #[display("whether an earlier call with this Idempotency-Key ran is not known")]
     InDoubt,
     /// The body is too large.
     #[display("the request is too large")]
     TooLarge,
-    /// The account sends more requests a second than it may.
+    /// The account exceeds its limit of requests per second.
     #[display("the client account sends more requests a second than it may")]
     RateLimited,
     /// The account's queue is full.
     #[display("the queue of the client account is full")]
     QueueFull,
-    /// The entry is overloaded.
+    /// The entry host is overloaded.
     #[display("the entry host is overloaded")]
     Overloaded,
-    /// It can't be served before its deadline.
+    /// The request can't be served before its deadline.
     #[display("the request can't be served before its deadline")]
     Deadline,
-    /// No upstream serves the pool now.
+    /// No upstream serves the pool at the moment.
     #[display("no upstream serves this now")]
     NoUpstream,
     /// The control group has no quorum.
     #[display("calls that may not be repeated can't be recorded now")]
     NoQuorum,
-    /// The host is leaving or has no configuration yet.
+    /// The host is shutting down or has no configuration yet.
     #[display("the entry host is not ready")]
     NotReady,
-    /// The content crashes upstreams.
+    /// Requests with this content have crashed upstreams.
     #[display("requests with this content have crashed upstreams")]
     Crashing,
-    /// The upstream broke off.
+    /// The upstream aborted the response.
     #[display("the upstream broke off")]
     UpstreamFailed,
-    /// The upstream gave no answer in time.
+    /// The upstream did not respond in time.
     #[display("the upstream gave no answer in time")]
     UpstreamTimeout,
-    /// The connection to the sidecar broke.
+    /// The connection to the sidecar was lost.
     #[display("the connection to the upstream's host broke")]
     ConnectionLost,
 }
 
 impl RefusalKind {
-    /// The name by which callers and figures know it.
+    /// The name used in responses and metrics.
     ///
     /// ```
     /// use coltsfootnotch::core::RefusalKind;
@@ -115,14 +115,14 @@
     ];
 }
 
-/// A refusal or failure as a caller sees it.
+/// A refusal or failure, as returned to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// What happened.
+    /// Kind of the refusal or failure.
     pub kind: RefusalKind,
-    /// Whether the request was run.
+    /// Whether the request ran.
     pub run: Run,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
@@ -142,7 +142,7 @@
 }
 
 impl Refusal {
-    /// A refusal of a request that can't have reached an upstream.
+    /// Creates a refusal of a request that has not reached an upstream.
     #[must_use]
     pub fn not_run(kind: RefusalKind) -> Self {
         Self {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// A failure after which it is not known whether the request ran.
+    /// Creates a failure after which it is not known whether the request ran.
     #[must_use]
     pub fn unknown(kind: RefusalKind) -> Self {
         Self {
@@ -162,14 +162,14 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the delay after which the caller may retry.
     #[must_use]
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// The HTTP status.
+    /// The HTTP status of the response.
     #[must_use]
     pub fn status(&self) -> StatusCode {
         match self.kind {
@@ -194,14 +194,14 @@
         }
     }
 
-    /// When to come back in whole seconds, at least one.
+    /// The retry delay in whole seconds, rounded up, at least one.
     #[must_use]
     pub fn retry_after_s(&self) -> Option<u64> {
         let after = self.retry_after?;
         Some(after.as_secs_f64().ceil().max(1.0) as u64)
     }
 
-    /// The JSON body.
+    /// The JSON body of the response.
     ///
     /// ```
     /// use coltsfootnotch::core::{Refusal, RefusalKind};
--- a/src/coltsfootnotch/util/boot_clock.rs
+++ b/src/coltsfootnotch/util/boot_clock.rs
@@ -1,18 +1,18 @@
-//! A clock that goes on while the host is suspended.
+//! A clock that keeps running while the host is suspended.
 
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Time since the machine started, the time in which it was suspended included.
+/// The system's boot-time clock, which includes the time in which the machine was suspended.
 ///
-/// The steady clock stands still while a machine is suspended. A lease measured by it would outlive
-/// its term by that time, and a host could go on by what was taken from it meanwhile.
+/// The monotonic clock stops during suspension, so a lease measured by it outlives its term and the
+/// host acts on a lease that another host may already hold.
 #[derive(Debug, Clone, Copy)]
 pub struct BootClock;
 
 impl BootClock {
-    /// Time since the machine started.
+    /// Time since the machine booted, including suspension.
     ///
     /// ```
     /// use coltsfootnotch::util::boot_clock::BootClock;
@@ -21,8 +21,8 @@
     #[must_use]
     pub fn now(self) -> Duration {
         let time = clock_gettime(ClockId::Boottime);
-        let seconds = u64::try_from(time.tv_sec).expect("time since the start is not negative");
-        let nanos = u32::try_from(time.tv_nsec).expect("nanoseconds are below a second");
+        let seconds = u64::try_from(time.tv_sec).expect("time since boot is not negative");
+        let nanos = u32::try_from(time.tv_nsec).expect("nanoseconds are less than a second");
         Duration::new(seconds, nanos)
     }
 }
--- a/src/coltsfootnotch/util/connections.rs
+++ b/src/coltsfootnotch/util/connections.rs
@@ -1,22 +1,21 @@
-//! The open connections of a server, so that its process ends after them.
+//! Tracks the open connections of a server, so that its process exits only after they are closed.
 //!
-//! An answer that the daemon has finished may still lie in the buffers of its connection, when the
-//! caller is slow to take it. A process that ended then would cut the answer off: the caller, who was
-//! promised the whole, would get an end without the last bytes.
+//! A completed response may still be in the buffers of its connection when the caller reads slowly.
+//! If the process exits then, the caller receives a truncated response.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use tokio::sync::watch;
 
-/// The open connections of a server.
+/// Counts the open connections of a server and signals them to close.
 #[derive(Debug, Default)]
 pub struct Connections {
     open: Arc<AtomicUsize>,
     closing: watch::Sender<bool>,
 }
 
-/// One open connection; counted until it is dropped.
+/// An open connection, counted until it is dropped.
 #[derive(Debug)]
 pub(super) struct OpenConnection {
     open: Arc<AtomicUsize>,
@@ -24,12 +23,12 @@
 }
 
 impl Connections {
-    /// Closes each connection after the answer that it is giving; idle ones at once.
+    /// Starts to close the connections: idle ones at once, others after their current response.
     pub fn close(&self) {
         self.closing.send_replace(true);
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     ///
     /// ```
     /// use coltsfootnotch::util::connections::Connections;
@@ -50,11 +49,11 @@
 }
 
 impl OpenConnection {
-    /// Resolves once the server closes its connections.
-    pub(super) async fn told_to_close(&self) {
+    /// Completes when the server starts to close its connections.
+    pub(super) async fn closing(&self) {
         let mut closing = self.closing.clone();
         if closing.wait_for(|closing| *closing).await.is_err() {
-            // The server goes on for as long as its process: nobody will ever close it.
+            // The sender was dropped without a signal, so this connection is never asked to close.
             std::future::pending::<()>().await;
         }
     }
--- a/src/coltsfootnotch/util/event_loop.rs
+++ b/src/coltsfootnotch/util/event_loop.rs
@@ -1,7 +1,7 @@
-//! The thread on which a daemon's actors live.
+//! Runs a daemon's actors.
 //!
-//! `stakker` is single-threaded: each daemon has a thread of its own with one `Stakker`. Tasks that
-//! own sockets run elsewhere and reach the actors through channels, which wake the thread.
+//! `stakker` is single-threaded: each daemon has one `Stakker`, on its own thread or as one task of
+//! the runtime. Tasks that own sockets send to the actors through channels, which wake the loop.
 
 use std::io;
 use std::sync::{Arc, mpsc};
@@ -11,12 +11,13 @@
 use stakker::Stakker;
 use tokio::sync::Notify;
 
-/// Longest sleep without a timer; a bound only, since messages wake the thread.
+/// Maximum sleep without a timer; messages wake the loop earlier.
 const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// Runs a `Stakker` on a thread of its own until an actor shuts it down.
+/// Runs a `Stakker` on its own thread until an actor shuts it down.
 ///
-/// What `init` returns is kept until then: an actor ends when its owner is dropped.
+/// The value that `init` returns is held until then, since an actor terminates when its owner is
+/// dropped.
 ///
 /// # Errors
 /// Returns an error when no thread can be started.
@@ -36,7 +37,7 @@
         // A full channel already holds a wake-up.
         let _ = wake.try_send(());
     });
-    let kept = init(&mut stakker);
+    let owner = init(&mut stakker);
     let mut idle_pending = stakker.run(Instant::now(), false);
     while stakker.not_shutdown() {
         let sleep = stakker.next_wait_max(Instant::now(), MAX_SLEEP, idle_pending);
@@ -46,20 +47,19 @@
         }
         idle_pending = stakker.run(Instant::now(), !activity);
     }
-    drop(kept);
+    drop(owner);
 }
 
-/// Runs a `Stakker` as one task of the runtime, beside the tasks that own sockets, until an actor
-/// shuts it down.
+/// Runs a `Stakker` as one task of the runtime until an actor shuts it down.
 ///
-/// On a host with a small share of one core, a message to a thread of its own costs two switches of
-/// threads and a system call each way; on one thread it costs none.
+/// On a host with a fraction of one core this avoids the thread switches and the system call that
+/// each message to a separate thread costs.
 pub async fn drive<T>(init: impl FnOnce(&mut Stakker) -> T) {
     let mut stakker = Stakker::new(Instant::now());
     let woken = Arc::new(Notify::new());
     let wake = Arc::clone(&woken);
     stakker.set_poll_waker(move || wake.notify_one());
-    let kept = init(&mut stakker);
+    let owner = init(&mut stakker);
     let mut idle_pending = stakker.run(Instant::now(), false);
     while stakker.not_shutdown() {
         let sleep = stakker.next_wait_max(Instant::now(), MAX_SLEEP, idle_pending);
@@ -69,5 +69,5 @@
         }
         idle_pending = stakker.run(Instant::now(), !activity);
     }
-    drop(kept);
+    drop(owner);
 }
--- a/src/coltsfootnotch/util/http_server.rs
+++ b/src/coltsfootnotch/util/http_server.rs
@@ -1,8 +1,8 @@
-//! The HTTP server of callers, announcements and administration.
+//! HTTP server for callers, announcements and administration.
 //!
-//! Connections, headers and idle time are bounded, since whoever connects decides how many bytes it
-//! sends and how slowly. When the peer closes its connection the handler's future, or the body it
-//! returned, is dropped: that is how a daemon learns that a caller has gone.
+//! Connections, header size and read time are bounded, since clients are not trusted to send little
+//! or quickly. When the peer closes its connection, the handler's future or the body that it
+//! returned is dropped, which cancels the request.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -27,28 +27,28 @@
 
 use super::connections::{Connections, OpenConnection};
 
-/// A body can't be completed: the connection is closed, so that its end does not look like the body's.
+/// A body can't be completed; the connection is closed so that the body is not taken for complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("the answer was broken off")]
+#[display("the response body was aborted")]
 pub struct BodyAborted;
 
 /// A response body of any kind.
 pub type AnyBody = BoxBody<Bytes, BodyAborted>;
-/// A response.
+/// A response with a body of any kind.
 pub type AnyResponse = Response<AnyBody>;
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Connections at once; more are closed unanswered.
+    /// Maximum number of open connections; further ones are closed without a response.
     pub connections: usize,
-    /// Request line and headers, in bytes.
+    /// Maximum size of the request line and headers, in bytes.
     pub header_bytes: usize,
-    /// Time for the headers to come.
+    /// Maximum time to receive the headers.
     pub read_timeout: Duration,
 }
 
-/// Serves until the listener's task is aborted.
+/// Serves connections until its task is aborted.
 pub async fn serve<F, R>(listener: TcpListener, limits: ServerLimits, handler: F)
 where
     F: Fn(Request<Incoming>, SocketAddr) -> R + Send + Sync + 'static,
@@ -58,8 +58,8 @@
     serve_and_close(listener, limits, read_timeout, Arc::default(), handler).await;
 }
 
-/// The same for a server whose connections are counted, and closed before its process ends. Each
-/// connection gets the `read_timeout` of the moment at which it is taken.
+/// Like [`serve`], with connections that are tracked in `connections` and can be closed gracefully.
+/// `read_timeout` is evaluated when a connection is accepted.
 pub async fn serve_and_close<F, R>(
     listener: TcpListener,
     limits: ServerLimits,
@@ -74,7 +74,7 @@
     let permits = Arc::new(Semaphore::new(limits.connections));
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Out of file descriptors: connections in progress end and free some.
+            // Out of file descriptors: retry once open connections have released some.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -104,12 +104,12 @@
     F: Fn(Request<Incoming>, SocketAddr) -> R + Send + Sync + 'static,
     R: Future<Output = AnyResponse> + Send + 'static,
 {
-    // Without it each token of a stream may wait for the acknowledgement of the one before.
+    // Nagle's algorithm delays each token of a stream until the previous one is acknowledged.
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    // The system's own bound is megabytes, and it wakes a writer only when a good part of that is
-    // free: a slow reader would cost that much memory and look as if it took nothing.
+    // The system's default is megabytes, and a writer is woken only once much of that is free. A
+    // slow reader then holds that much memory and appears to be stalled.
     if SockRef::from(&stream)
         .set_send_buffer_size(SEND_BUFFER)
         .is_err()
@@ -117,8 +117,8 @@
         return;
     }
     let service = service_fn(move |req| {
-        let answer = handler(req, peer);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(req, peer);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let mut connection = pin!(
         http1::Builder::new()
@@ -127,27 +127,27 @@
             .max_buf_size(limits.header_bytes.max(MIN_BUFFER))
             .serve_connection(TokioIo::new(stream), service)
     );
-    let told_to_close = tokio::select! {
-        // An error here is the peer's: it has gone, or sent what is not HTTP and was told so.
+    let is_closing = tokio::select! {
+        // An error here is the peer's: it disconnected, or it sent invalid HTTP and got a 400.
         _ = connection.as_mut() => false,
-        () = open.told_to_close() => true,
+        () = open.closing() => true,
     };
-    if told_to_close {
+    if is_closing {
         connection.as_mut().graceful_shutdown();
         let _outcome = connection.await;
     }
 }
 
-/// Bytes of an answer that the system holds for one connection.
+/// Size of the socket's send buffer, in bytes.
 const SEND_BUFFER: usize = 64 * 1024;
 
-/// The least buffer that the library takes, in bytes.
+/// Minimum buffer size that hyper accepts, in bytes.
 const MIN_BUFFER: usize = 8192;
 
-/// The type of a body that is a line or two for people.
+/// Content type of a plain-text body.
 pub const TEXT: &str = "text/plain; charset=utf-8";
 
-/// A whole body.
+/// Creates a response with a complete body.
 #[must_use]
 pub fn full(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> AnyResponse {
     let body = Full::new(body.into()).map_err(|never| match never {});
@@ -163,7 +163,8 @@
 /// Reads a request body of at most `limit` bytes.
 ///
 /// # Errors
-/// Returns the status to answer with: 413 for a larger body, 408 for a slow one, 400 for a broken one.
+/// Returns the status to respond with: 413 for a larger body, 408 on a timeout, 400 for a broken
+/// body.
 pub async fn read_body(
     body: Incoming,
     limit: usize,
--- a/src/coltsfootnotch/util/json_log.rs
+++ b/src/coltsfootnotch/util/json_log.rs
@@ -1,11 +1,8 @@
-//! Log lines as JSON on standard output, bounded in number and never waited for.
+//! Writes log records as JSON lines to standard output, without blocking the daemon.
 //!
-//! **Failure.** Whoever reads the output stops reading, and the pipe fills up. A daemon that writes
-//! its lines itself would stand still at the next one, and with it every request.
-//!
-//! **Safeguard.** A thread of its own writes; lines go to it through a queue of bounded length, and
-//! one that finds it full is dropped and counted. Under load, lines beyond a budget a second are
-//! dropped as well, routine ones first. A line says how many were.
+//! When the reader of the pipe stops, a direct write blocks and stalls every request. A separate
+//! thread therefore writes lines from a bounded queue. Lines that exceed the queue or a budget per
+//! second are dropped, and the next line reports their number.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -21,31 +18,31 @@
 
 use super::line_budget::LineBudget;
 
-/// Lines that wait for the thread: some seconds' worth at the budget.
+/// Maximum number of lines that wait for the thread, a few seconds' worth at the budget.
 const QUEUED_LINES: usize = 1_024;
-/// Lines a second about requests: at about 20 microseconds a line, 0.2% of a core.
+/// Maximum number of lines per second about requests; at about 20 µs a line, 0.2% of a core.
 const REQUEST_LINES: u16 = 100;
-/// All other lines a second, which say what the process believes. They have a budget of their own: in
-/// a flood of refusals the line that tells why would be the one left out.
+/// Maximum number of other lines per second. They have a separate budget, so that a flood of
+/// refusals does not displace the line that explains them.
 const STATE_LINES: u16 = 200;
-/// Longest wait for the thread when the process ends.
-const FLUSH_WITHIN: Duration = Duration::from_millis(250);
+/// Maximum time to wait for the thread when the process exits.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Records with this target are about one request.
+/// Log target of records about a single request.
 pub const REQUEST_TARGET: &str = "coltsfootnotch::request";
-/// Time for which the thread gathers lines: one wake-up and one write for many.
-const GATHER: Duration = Duration::from_millis(100);
+/// Interval over which the thread batches lines into one write.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the thread is told.
-enum Told {
+/// A message to the writer thread.
+enum WriterMessage {
     Line(String),
-    /// Write everything before this, and say so.
+    /// Write all preceding lines, then reply.
     Flush(SyncSender<()>),
 }
 
 /// Writes log records as JSON lines.
 pub struct JsonLog {
-    tx: SyncSender<Told>,
+    tx: SyncSender<WriterMessage>,
     started: Instant,
     requests: LineBudget,
     states: LineBudget,
@@ -53,7 +50,7 @@
 }
 
 impl JsonLog {
-    /// Starts the thread that writes to standard output.
+    /// Starts the writer thread for standard output.
     ///
     /// # Errors
     /// Returns an error when no thread can be started.
@@ -72,7 +69,7 @@
     }
 
     fn send(&self, line: String) {
-        if self.tx.try_send(Told::Line(line)).is_err() {
+        if self.tx.try_send(WriterMessage::Line(line)).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -96,9 +93,9 @@
 
     fn flush(&self) -> io::Result<()> {
         let (tx, rx) = mpsc::sync_channel(1);
-        if self.tx.try_send(Told::Flush(tx)).is_ok() {
-            // Nobody reads the output if this takes longer; the process ends all the same.
-            let _written = rx.recv_timeout(FLUSH_WITHIN);
+        if self.tx.try_send(WriterMessage::Flush(tx)).is_ok() {
+            // On a timeout nobody reads the output, and the process exits anyway.
+            let _flushed = rx.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
@@ -108,7 +105,7 @@
     }
 }
 
-/// One record as a line of JSON. Events bring their own fields; other records have a message.
+/// Formats a record as a line of JSON: events have fields, other records a message.
 fn to_json(time: &str, record: &Record<'_>, dropped: u64) -> String {
     let mut fields = Fields(BTreeMap::new());
     if let Err(e) = record.key_values().visit(&mut fields) {
@@ -134,7 +131,7 @@
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let text = value.to_string();
-        // An identity such as 0012 must stay as it was sent.
+        // A request ID such as 0012 stays a string, to keep its leading zeros.
         let value = match text.parse::<u64>() {
             Ok(number) if number.to_string() == text => number.into(),
             _ => text.into(),
@@ -144,27 +141,27 @@
     }
 }
 
-fn write_lines(rx: &Receiver<Told>) {
+fn write_lines(rx: &Receiver<WriterMessage>) {
     let mut out = io::stdout();
     while let Ok(first) = rx.recv() {
-        if matches!(first, Told::Line(_)) {
-            thread::sleep(GATHER);
+        if matches!(first, WriterMessage::Line(_)) {
+            thread::sleep(BATCH_INTERVAL);
         }
         let mut buf = String::new();
         let mut flushes = Vec::new();
-        for told in std::iter::once(first).chain(rx.try_iter()) {
-            match told {
-                Told::Line(line) => {
+        for message in std::iter::once(first).chain(rx.try_iter()) {
+            match message {
+                WriterMessage::Line(line) => {
                     buf.push_str(&line);
                     buf.push('\n');
                 }
-                Told::Flush(tx) => flushes.push(tx),
+                WriterMessage::Flush(tx) => flushes.push(tx),
             }
         }
-        // Nobody is left who could be told that the output is gone.
+        // A failure to write the log can't be reported anywhere.
         let _outcome = out.write_all(buf.as_bytes()).and_then(|()| out.flush());
         for tx in flushes {
-            let _waits = tx.send(());
+            let _receiver_may_have_timed_out = tx.send(());
         }
     }
 }
--- a/src/coltsfootnotch/util/json_log_tests.rs
+++ b/src/coltsfootnotch/util/json_log_tests.rs
@@ -1,4 +1,4 @@
-//! Log lines as JSON.
+//! Tests of the JSON log format.
 
 use googletest::prelude::*;
 use log::{Level, Record};
@@ -6,7 +6,7 @@
 use super::to_json;
 
 #[googletest::test]
-fn an_event_is_its_fields() {
+fn an_event_is_written_as_its_fields() {
     let fields = [
         ("code", "CFN-0071"),
         ("request", "0012"),
@@ -26,7 +26,7 @@
 }
 
 #[googletest::test]
-fn another_record_is_its_message() {
+fn a_record_without_fields_is_written_as_its_message() {
     let record = Record::builder()
         .level(Level::Warn)
         .args(format_args!("half \"a\" file"))
--- a/src/coltsfootnotch/util/line_budget.rs
+++ b/src/coltsfootnotch/util/line_budget.rs
@@ -1,12 +1,12 @@
-//! How many lines of one kind are written in a second.
+//! Limits the number of log lines of one kind per second.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Room for this many lines in the low bits, above them the second.
+/// Number of low bits that hold the count; the bits above hold the second.
 const COUNT_BITS: u32 = 16;
 
-/// A budget of lines, best asked before a line is made.
+/// A budget of log lines per second, to be checked before a line is formatted.
 ///
 /// ```
 /// use std::time::Duration;
@@ -18,14 +18,14 @@
 /// ```
 #[derive(Debug)]
 pub struct LineBudget {
-    /// Lines a second.
+    /// Maximum number of lines per second.
     lines: u64,
-    /// The second, and the lines of it.
+    /// The current second and the number of lines taken in it.
     used: AtomicU64,
 }
 
 impl LineBudget {
-    /// So many lines each second.
+    /// Creates a budget of `lines` per second.
     #[must_use]
     pub fn new(lines: u16) -> Self {
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes one line of this second, if there is one left.
+    /// Takes a line from the budget of the current second; false when it is exhausted.
     pub fn take(&self, now: Duration) -> bool {
         let second = now.as_secs() << COUNT_BITS;
         let used = self.used.load(Ordering::Relaxed);
@@ -43,7 +43,7 @@
         if next - second > self.lines {
             return false;
         }
-        // Two threads at once may write one line too many.
+        // Not atomic: concurrent callers may exceed the budget by a line.
         self.used.store(next, Ordering::Relaxed);
         true
     }
--- a/src/coltsfootnotch/util/metrics.rs
+++ b/src/coltsfootnotch/util/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters and histograms of one daemon, through the `metrics` library's exporter.
+//! Metrics of one daemon, exported in the Prometheus text format.
 //!
-//! The recorder belongs to the daemon and is not installed for the process, so that several daemons
-//! in one process keep their figures apart.
+//! The recorder belongs to the daemon and is not installed globally, so that several daemons in one
+//! process have separate metrics.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -14,18 +14,18 @@
 
 use crate::util::events::EventDef;
 
-/// Accounts with histograms of their own; the rest share one named `other`, so that an account list
-/// of thousands costs a bounded amount of memory and of lines on each scrape.
+/// Maximum number of accounts with their own histograms; the rest share the label `other`, which
+/// bounds the memory and the size of each scrape.
 const MAX_LABELLED_ACCOUNTS: usize = 200;
 
-/// Upper bounds of latency buckets, in seconds: fine around the targets of 28 ms and 1.1 s.
+/// Upper bounds of latency buckets, in seconds, with bounds at the targets of 28 ms and 1.1 s.
 const LATENCY_BUCKETS: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.028, 0.05, 0.1, 0.25, 0.5, 1.1, 2.5, 10.0, 60.0,
 ];
 /// Upper bounds of service buckets, in service units.
 const SERVICE_BUCKETS: [f64; 8] = [10.0, 50.0, 100.0, 500.0, 1000.0, 5000.0, 20000.0, 100_000.0];
 
-/// What a daemon measures.
+/// Metrics registry of a daemon.
 #[derive(Clone)]
 pub struct Metrics {
     recorder: Arc<PrometheusRecorder>,
@@ -45,7 +45,7 @@
 }
 
 impl Metrics {
-    /// Figures that all stand at zero.
+    /// Creates an empty registry.
     ///
     /// ```
     /// use coltsfootnotch::util::metrics::Metrics;
@@ -71,49 +71,49 @@
         }
     }
 
-    /// A counter.
+    /// Returns the counter with this name and these labels.
     pub fn counter(&self, name: &str, labels: &[(&'static str, &str)]) -> Counter {
         self.recorder
             .register_counter(&key(name, labels), &METADATA)
     }
 
-    /// A gauge.
+    /// Returns the gauge with this name and these labels.
     pub fn gauge(&self, name: &str, labels: &[(&'static str, &str)]) -> Gauge {
         self.recorder.register_gauge(&key(name, labels), &METADATA)
     }
 
-    /// A histogram of seconds.
+    /// Returns the histogram, in seconds, with this name and these labels.
     pub fn histogram(&self, name: &str, labels: &[(&'static str, &str)]) -> Histogram {
         self.recorder
             .register_histogram(&key(name, labels), &METADATA)
     }
 
-    /// Records a duration in the histogram of an account.
+    /// Records a duration, in seconds, in a histogram of an account.
     pub fn account_seconds(&self, name: &str, account: &AccountName, duration: Duration) {
         self.account_histogram(name, account)
             .record(duration.as_secs_f64());
     }
 
-    /// Records service in the histogram of an account.
+    /// Records service units in the `account_service` histogram of an account.
     pub fn account_service(&self, account: &AccountName, units: u64) {
         self.account_histogram("account_service", account)
             .record(units as f64);
     }
 
-    /// Counts an event of the log.
+    /// Counts a logged event by its code.
     pub fn count_event(&self, event: &EventDef) {
         self.counter("log_events", &[("code", &event.code())])
             .increment(1);
     }
 
-    /// Every figure in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         self.recorder.handle().run_upkeep();
         self.recorder.handle().render()
     }
 
-    /// The histogram of an account, to be recorded in often.
+    /// Returns a histogram labelled with an account.
     pub fn account_histogram(&self, name: &str, account: &AccountName) -> Histogram {
         let label = self.account_label(account);
         self.recorder
--- a/src/coltsfootnotch/util/mod.rs
+++ b/src/coltsfootnotch/util/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers shared by daemons and commands.
+//! Utilities shared by daemons and commands.
 
 pub mod boot_clock;
 pub mod connections;
--- a/src/coltsfootnotch/util/print_causes.rs
+++ b/src/coltsfootnotch/util/print_causes.rs
@@ -1,8 +1,8 @@
-//! How a program says why it failed.
+//! Prints errors with their causes.
 
 use std::error::Error;
 
-/// Prints an error with the chain of its causes on standard error.
+/// Prints an error and the chain of its causes to standard error.
 ///
 /// ```
 /// coltsfootnotch::util::print_causes(&std::fmt::Error);
