--- a/src/coltsfootnotch/ops/access.rs
+++ b/src/coltsfootnotch/ops/access.rs
@@ -1,4 +1,4 @@
-//! How a command reaches the control group: addresses and an operator's key.
+//! How a command connects to the control group: addresses and the operator's credentials.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,16 +16,16 @@
 use super::operator_client::OperatorClient;
 use crate::daemon::ControlAddress;
 
-/// A control host as an operator names it: `HOST=IP:PORT`.
+/// Command-line argument that names a control host: `HOST=IP:PORT`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlArg {
-    /// The host.
+    /// Host name.
     pub host: HostName,
-    /// Its fleet address.
+    /// Fleet address of the host.
     pub address: SocketAddr,
 }
 
-/// The text is not `HOST=IP:PORT`.
+/// The argument is not of the form `HOST=IP:PORT`.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("expected HOST=IP:PORT, such as control-colombo=10.0.0.7:7000")]
 pub struct ControlArgError;
@@ -49,28 +49,29 @@
     }
 }
 
-/// Where the control group is, and the key that opens it.
+/// Options for connecting to the control group.
 #[derive(Debug, Clone)]
 pub struct Access {
-    /// Settings of any host of the fleet: its `control`, and the folder of its `keys.ca`.
+    /// Settings of any host of the fleet, which give the control hosts and the folder of the keys.
     pub settings: Option<PathBuf>,
-    /// Control hosts; they go before those of the settings.
+    /// Control hosts; they override those of the settings.
     pub control: Vec<ControlArg>,
-    /// Folder with `ca.pem`, `operator.pem` and `operator.key`; goes before that of the settings.
+    /// Folder with `ca.pem`, `operator.pem` and `operator.key`; overrides that of the settings.
     pub keys: Option<PathBuf>,
-    /// Whether the fleet has no keys of its own and takes any; its network is the boundary then.
+    /// Whether the fleet has no authority and accepts any key; its network is then the only
+    /// boundary.
     pub without_keys: bool,
-    /// How long to wait for the control group.
+    /// Maximum time to wait for the control group.
     pub timeout: Duration,
 }
 
-/// A connection, and the runtime that carries it.
-pub(super) struct Connected {
+/// A connected client and its runtime.
+pub(super) struct Connection {
     pub(super) client: OperatorClient,
     runtime: Option<Runtime>,
 }
 
-impl Drop for Connected {
+impl Drop for Connection {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
@@ -79,8 +80,8 @@
 }
 
 impl Access {
-    /// Connects to the control group with an operator's key.
-    pub(super) fn connect(&self) -> Result<Connected, OpsError> {
+    /// Connects to the control group with the operator's credentials.
+    pub(super) fn connect(&self) -> Result<Connection, OpsError> {
         let settings = self.settings.as_deref().map(read_settings).transpose()?;
         let control = self.control_addresses(settings.as_ref())?;
         let credentials = self.credentials(settings.as_ref())?;
@@ -90,7 +91,7 @@
             .build()?;
         let client =
             OperatorClient::connect(runtime.handle(), &credentials, &control, self.timeout)?;
-        Ok(Connected {
+        Ok(Connection {
             client,
             runtime: Some(runtime),
         })
@@ -101,7 +102,7 @@
         settings: Option<&Settings>,
     ) -> Result<Vec<ControlAddress>, OpsError> {
         if !self.control.is_empty() {
-            return Ok(self.control.iter().map(to_address).collect());
+            return Ok(self.control.iter().map(to_control_address).collect());
         }
         let settings = settings.ok_or(OpsError::NoControl)?;
         Ok(settings.control.iter().map(ControlAddress::from).collect())
@@ -115,8 +116,8 @@
             };
             return Ok(Credentials::without_authority(&peer)?);
         }
-        let of_settings = settings.and_then(|settings| settings.keys.ca.parent());
-        let folder = self.keys.as_deref().or(of_settings);
+        let settings_folder = settings.and_then(|settings| settings.keys.ca.parent());
+        let folder = self.keys.as_deref().or(settings_folder);
         let folder = folder.ok_or(OpsError::NoKeys)?;
         let ca = read(&folder.join(format!("{CA}.pem")))?;
         let certificate = read(&folder.join(format!("{OPERATOR}.pem")))?;
@@ -125,8 +126,8 @@
     }
 }
 
-/// The failure domain of a control host plays no part for an operator.
-fn to_address(arg: &ControlArg) -> ControlAddress {
+/// Converts to an address with a placeholder domain, since operators don't use failure domains.
+fn to_control_address(arg: &ControlArg) -> ControlAddress {
     let domain = DomainName::new("unknown").expect("a valid name");
     ControlAddress {
         host: arg.host.clone(),
@@ -135,13 +136,13 @@
     }
 }
 
-/// Reads a file.
+/// Reads a text file.
 pub(super) fn read(path: &Path) -> Result<String, OpsError> {
     let path = path.to_owned();
     std::fs::read_to_string(&path).map_err(|source| OpsError::Read { path, source })
 }
 
-/// Reads a settings file.
+/// Reads and parses a settings file.
 pub(super) fn read_settings(path: &Path) -> Result<Settings, OpsError> {
     let text = read(path)?;
     Ok(Settings::parse(&path.display().to_string(), &text)?)
--- a/src/coltsfootnotch/ops/apply.rs
+++ b/src/coltsfootnotch/ops/apply.rs
@@ -1,4 +1,5 @@
-//! `coltsfootnotch apply`: a manifest to the control group, and on request to every live host.
+//! `coltsfootnotch apply`: applies a manifest and optionally waits until every live host has it in
+//! force.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -14,24 +15,23 @@
 use super::fleet_status::{FleetStatus, config_by_host};
 use super::operator_client::OperatorClient;
 
-/// Time between two looks at what the hosts have in force: a fraction of the second that a change
-/// usually takes.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between status queries; a change usually takes about a second.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is applied, and how far the command waits.
+/// Options of `apply`.
 #[derive(Debug, Clone)]
 pub struct ApplyOptions {
-    /// The manifest.
+    /// Path of the manifest.
     pub manifest: PathBuf,
-    /// How the control group is reached.
+    /// How to connect to the control group.
     pub access: Access,
-    /// Whether to wait until every live host has it in force.
+    /// Whether to wait until every live host has the manifest in force.
     pub wait: bool,
-    /// Whether a program reads the output.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
-/// What became of a manifest.
+/// Outcome of applying a manifest.
 #[derive(Debug, Serialize)]
 struct Report {
     number: u64,
@@ -41,31 +41,31 @@
     accepted_digest: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
     accepted_number: Option<u64>,
-    /// Time to the acknowledgement, in milliseconds.
+    /// Time until the control group acknowledged the manifest, in milliseconds.
     accepted_ms: u64,
     #[serde(skip_serializing_if = "Option::is_none")]
-    spread: Option<Spread>,
+    spread: Option<Rollout>,
 }
 
-/// Where a configuration is in force.
+/// Hosts on which a configuration is in force.
 #[derive(Debug, Serialize)]
-struct Spread {
+struct Rollout {
     in_force: Vec<HostName>,
     behind: Vec<HostName>,
     /// Time since the manifest was sent, in milliseconds.
     after_ms: u64,
 }
 
-/// Applies a manifest. It is durable on a majority of the control group when it is called accepted.
+/// Applies a manifest. An accepted manifest is durable on a majority of the control group.
 ///
 /// # Errors
-/// Returns an error when the manifest has findings, the group refuses it or does not answer, or some
-/// live host does not have it in force in time.
+/// Returns an error when the manifest has findings, when the group refuses it or does not answer,
+/// or when a live host does not have it in force in time.
 pub fn apply(opts: &ApplyOptions, out: &mut impl Write) -> Result<(), OpsError> {
     let text = read(&opts.manifest)?;
     let manifest = Manifest::parse(&opts.manifest.display().to_string(), &text)?;
-    let connected = opts.access.connect()?;
-    let client = &connected.client;
+    let connection = opts.access.connect()?;
+    let client = &connection.client;
     let sent = Instant::now();
     let reply = client.apply(&manifest, opts.access.timeout)?;
     let mut report = Report {
@@ -77,26 +77,27 @@
         accepted_ms: millis(sent.elapsed()),
         spread: None,
     };
-    let refused = refusal(manifest.number, reply);
-    match &refused {
-        Some(e) => note_refusal(&mut report, e),
-        None if opts.wait => report.spread = Some(wait(client, &manifest, sent, opts)?),
+    let refusal = to_refusal(manifest.number, reply);
+    match &refusal {
+        Some(e) => record_refusal(&mut report, e),
+        None if opts.wait => report.spread = Some(wait_for_rollout(client, &manifest, sent, opts)?),
         None => {}
     }
     print(&report, opts.json, out)?;
-    if let Some(e) = refused {
+    if let Some(e) = refusal {
         return Err(e);
     }
     match report.spread {
-        Some(spread) if !spread.behind.is_empty() => Err(OpsError::Behind {
+        Some(rollout) if !rollout.behind.is_empty() => Err(OpsError::Behind {
             number: report.number,
-            behind: spread.behind,
+            behind: rollout.behind,
         }),
         _ => Ok(()),
     }
 }
 
-fn refusal(number: u64, reply: Reply) -> Option<OpsError> {
+/// The error for a reply; `None` when the configuration was accepted.
+fn to_refusal(number: u64, reply: Reply) -> Option<OpsError> {
     match reply {
         Reply::Config(ConfigReply::Accepted { .. }) => None,
         Reply::Config(ConfigReply::Conflict { number, accepted }) => {
@@ -106,19 +107,19 @@
             Some(OpsError::Stale { number, accepted })
         }
         Reply::Config(ConfigReply::TooLarge { max_bytes }) => Some(OpsError::Refused {
-            reason: format!("it is larger than {max_bytes} bytes"),
+            reason: format!("its body is larger than {max_bytes} bytes"),
         }),
         Reply::Config(ConfigReply::DigestMismatch { found }) => Some(OpsError::Refused {
-            reason: format!("its body arrived with the digest {found}"),
+            reason: format!("its body was received with the digest {found}"),
         }),
         other => Some(OpsError::Refused {
-            reason: format!("it answered {other:?}"),
+            reason: format!("unexpected reply {other:?}"),
         }),
     }
 }
 
-fn note_refusal(report: &mut Report, refused: &OpsError) {
-    match refused {
+fn record_refusal(report: &mut Report, refusal: &OpsError) {
+    match refusal {
         OpsError::Conflict { accepted, .. } => {
             report.outcome = "conflict";
             report.accepted_digest = Some(accepted.to_string());
@@ -131,36 +132,36 @@
     }
 }
 
-/// Waits until every live host that any control host knows has the configuration in force.
-fn wait(
+/// Waits until every live host known to any control host has the configuration in force.
+fn wait_for_rollout(
     client: &OperatorClient,
     manifest: &Manifest,
     sent: Instant,
     opts: &ApplyOptions,
-) -> Result<Spread, OpsError> {
-    let until = sent + opts.access.timeout;
+) -> Result<Rollout, OpsError> {
+    let deadline = sent + opts.access.timeout;
     loop {
-        let spread = spread(client, manifest.number, sent)?;
-        let done = spread.behind.is_empty() && !spread.in_force.is_empty();
-        if done || Instant::now() >= until {
-            return Ok(spread);
+        let rollout = rollout(client, manifest.number, sent)?;
+        let done = rollout.behind.is_empty() && !rollout.in_force.is_empty();
+        if done || Instant::now() >= deadline {
+            return Ok(rollout);
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn spread(client: &OperatorClient, number: u64, sent: Instant) -> Result<Spread, OpsError> {
-    let answers = client.status_of_each()?;
-    let parsed: Result<Vec<FleetStatus>, _> = answers
+fn rollout(client: &OperatorClient, number: u64, sent: Instant) -> Result<Rollout, OpsError> {
+    let replies = client.status_of_each()?;
+    let statuses: Result<Vec<FleetStatus>, _> = replies
         .iter()
         .map(|json| serde_json::from_str(json))
         .collect();
-    let hosts = config_by_host(&parsed?).into_iter();
-    let (has, lacks): (Vec<_>, Vec<_>) = hosts.partition(|(_, config)| *config >= number);
+    let hosts = config_by_host(&statuses?).into_iter();
+    let (in_force, behind): (Vec<_>, Vec<_>) = hosts.partition(|(_, config)| *config >= number);
     let names = |hosts: Vec<(HostName, u64)>| hosts.into_iter().map(|(host, _)| host).collect();
-    Ok(Spread {
-        in_force: names(has),
-        behind: names(lacks),
+    Ok(Rollout {
+        in_force: names(in_force),
+        behind: names(behind),
         after_ms: millis(sent.elapsed()),
     })
 }
@@ -180,12 +181,12 @@
         out,
         "configuration {number} {outcome} after {ms} ms, digest {digest}"
     )?;
-    if let Some(spread) = &report.spread {
-        let hosts = spread.in_force.len();
+    if let Some(rollout) = &report.spread {
+        let hosts = rollout.in_force.len();
         writeln!(
             out,
             "in force on {hosts} hosts after {} ms",
-            spread.after_ms
+            rollout.after_ms
         )?;
     }
     Ok(())
--- a/src/coltsfootnotch/ops/check.rs
+++ b/src/coltsfootnotch/ops/check.rs
@@ -1,4 +1,4 @@
-//! `coltsfootnotch check`: everything that is wrong with settings and manifests.
+//! `coltsfootnotch check`: reports all findings of settings and manifests.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -8,20 +8,20 @@
 
 use super::error::OpsError;
 
-/// What is checked.
+/// Options of `check`.
 #[derive(Debug, Clone)]
 pub struct CheckOptions {
-    /// The files.
+    /// The files to check.
     pub files: Vec<PathBuf>,
-    /// What they are; recognised by their keys when it is not given.
+    /// Kind of the files; detected from their keys when it is not given.
     pub kind: Option<TextKind>,
-    /// Whether a program reads the output.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
 /// A finding with its file.
 #[derive(Debug, Serialize)]
-struct Found {
+struct FileFinding {
     file: String,
     line: usize,
     column: usize,
@@ -32,10 +32,10 @@
 #[derive(Serialize)]
 struct Report<'a> {
     files: usize,
-    findings: &'a [Found],
+    findings: &'a [FileFinding],
 }
 
-/// Prints the findings of all files together.
+/// Prints the findings of all files.
 ///
 /// # Errors
 /// Returns [`OpsError::Found`] when there are any.
@@ -60,7 +60,7 @@
         };
         writeln!(out, "{}", serde_json::to_string(&report)?)?;
     } else {
-        print(&found, count, opts.files.len(), out)?;
+        print_text(&found, count, opts.files.len(), out)?;
     }
     match count {
         0 => Ok(()),
@@ -68,7 +68,12 @@
     }
 }
 
-fn print(found: &[Found], count: usize, files: usize, out: &mut impl Write) -> std::io::Result<()> {
+fn print_text(
+    found: &[FileFinding],
+    count: usize,
+    files: usize,
+    out: &mut impl Write,
+) -> std::io::Result<()> {
     for f in found {
         writeln!(out, "{}:{}:{}: {}", f.file, f.line, f.column, f.message)?;
         if let Some(help) = &f.help {
@@ -84,31 +89,36 @@
     Ok(())
 }
 
-/// Adds the findings of a file; returns how many there are, those left out included.
-fn check_file(path: &Path, kind: Option<TextKind>, found: &mut Vec<Found>) -> usize {
+/// Adds the findings of a file; returns their total number, including those that were not recorded.
+fn check_file(path: &Path, kind: Option<TextKind>, found: &mut Vec<FileFinding>) -> usize {
     let file = path.display().to_string();
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(e) => return add(found, file, format!("the file can't be read: {e}"), None),
+        Err(e) => return add_finding(found, file, format!("the file can't be read: {e}"), None),
     };
     let findings = match kind.or_else(|| TextKind::detect(&text)) {
         Some(TextKind::Settings) => Settings::parse(&file, &text).err(),
         Some(TextKind::Manifest) => Manifest::parse(&file, &text).err(),
         None => {
-            let message = "this is neither settings nor a manifest".to_owned();
-            let help = Some("--kind settings or --kind manifest says which it should be");
-            return add(found, file, message, help);
+            let message = "the file is neither settings nor a manifest".to_owned();
+            let help = Some("give --kind settings or --kind manifest");
+            return add_finding(found, file, message, help);
         }
     };
     let Some(findings) = findings else {
         return 0;
     };
-    found.extend(entries(&findings));
+    found.extend(to_file_findings(&findings));
     findings.len()
 }
 
-fn add(found: &mut Vec<Found>, file: String, message: String, help: Option<&str>) -> usize {
-    found.push(Found {
+fn add_finding(
+    found: &mut Vec<FileFinding>,
+    file: String,
+    message: String,
+    help: Option<&str>,
+) -> usize {
+    found.push(FileFinding {
         file,
         line: 1,
         column: 1,
@@ -118,8 +128,8 @@
     1
 }
 
-fn entries(findings: &Findings) -> impl Iterator<Item = Found> {
-    findings.iter().map(|finding| Found {
+fn to_file_findings(findings: &Findings) -> impl Iterator<Item = FileFinding> {
+    findings.iter().map(|finding| FileFinding {
         file: findings.file().to_owned(),
         line: finding.line,
         column: finding.column,
--- a/src/coltsfootnotch/ops/demo.rs
+++ b/src/coltsfootnotch/ops/demo.rs
@@ -1,4 +1,4 @@
-//! `coltsfootnotch demo`: a fleet in one process, and a look at what it does.
+//! `coltsfootnotch demo`: runs a fleet in one process and sends it a few requests.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -21,96 +21,96 @@
 const BOOKING_KEY: &str = "demo-sample-order-1";
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How the demo is run.
+/// Options of `demo`.
 #[derive(Debug, Clone, Copy)]
 pub struct DemoOptions {
-    /// Whether to end after the requests have been shown.
+    /// Whether to exit after the results have been printed.
     pub once: bool,
-    /// Seed of what is drawn at random.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// Why the demo can't be shown, or did not show what it should.
+/// Why the demo failed.
 #[derive(Debug, Display, Error, From)]
 pub enum DemoError {
     /// The fleet can't run.
     #[display("the fleet can't run")]
     Fleet(FleetError),
-    /// A request got no answer.
-    #[display("a request got no answer")]
+    /// A request got no response.
+    #[display("a request got no response")]
     Http(ureq::Error),
-    /// An answer is not what it should be.
-    #[display("{failed} of the requests did not get the answer they should")]
+    /// Responses were not as expected.
+    #[display("{failed} of the requests did not get the expected response")]
     #[from(skip)]
     Wrong {
-        /// How many.
+        /// Number of these requests.
         failed: usize,
     },
-    /// A line can't be written.
+    /// The output can't be written.
     #[display("the output can't be written")]
     Io(std::io::Error),
 }
 
-/// One line of the table.
+/// Result of a request; a row of the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Shown {
+struct RequestResult {
     request: &'static str,
     status: u16,
-    got: String,
-    right: bool,
+    response: String,
+    is_expected: bool,
 }
 
-/// Runs the demo; `out` takes what a person reads, `wait` returns when the demo is to end.
+/// Runs the demo and prints the results to `out`. `wait` blocks until the demo should end.
 ///
 /// # Errors
-/// Returns an error when the fleet can't run or an answer is not what it should be.
+/// Returns an error when the fleet can't run or a response is not as expected.
 pub fn demo(
     opts: &DemoOptions,
     out: &mut impl std::io::Write,
     wait: impl FnOnce(),
 ) -> Result<(), DemoError> {
     let fleet = Fleet::start(&FleetPlan::demo(), &mut StdRng::seed_from_u64(opts.seed))?;
-    let shown = show(&fleet)?;
-    print(&shown, &fleet, out)?;
+    let results = send_requests(&fleet)?;
+    print(&results, &fleet, out)?;
     if !opts.once {
         wait();
     }
     fleet.stop();
-    match shown.iter().filter(|line| !line.right).count() {
+    match results.iter().filter(|result| !result.is_expected).count() {
         0 => Ok(()),
         failed => Err(DemoError::Wrong { failed }),
     }
 }
 
-fn show(fleet: &Fleet) -> Result<Vec<Shown>, DemoError> {
-    let callers = fleet.http_addresses();
-    let first = callers[0];
-    let last = callers[callers.len() - 1];
+fn send_requests(fleet: &Fleet) -> Result<Vec<RequestResult>, DemoError> {
+    let entries = fleet.http_addresses();
+    let first = entries[0];
+    let last = entries[entries.len() - 1];
     let agent: Agent = Agent::config_builder()
         .http_status_as_error(false)
         .timeout_global(Some(TIMEOUT))
         .build()
         .into();
-    let booked = book(&agent, first)?;
-    let number = booked.got.clone();
-    let mut shown = vec![completion(&agent, first)?, stream(&agent, last)?, booked];
-    let again = book(&agent, last)?;
-    let right = again.right && again.got == number;
-    shown.push(Shown {
-        request: "the same booking again, elsewhere",
-        right,
-        ..again
+    let booking = book(&agent, first)?;
+    let number = booking.response.clone();
+    let mut results = vec![completion(&agent, first)?, stream(&agent, last)?, booking];
+    let repeated = book(&agent, last)?;
+    let is_expected = repeated.is_expected && repeated.response == number;
+    results.push(RequestResult {
+        request: "the same booking at another entry",
+        is_expected,
+        ..repeated
     });
-    shown.push(reread(&agent, first)?);
-    let made = |service: &OrderHandle| service.bookings().get(BOOKING_KEY).copied().unwrap_or(0);
-    let bookings: usize = fleet.services().iter().map(made).sum();
-    shown.push(Shown {
-        request: "bookings that the order service counts",
+    results.push(query_booking(&agent, first)?);
+    let count = |service: &OrderHandle| service.bookings().get(BOOKING_KEY).copied().unwrap_or(0);
+    let bookings: usize = fleet.services().iter().map(count).sum();
+    results.push(RequestResult {
+        request: "bookings made at the order service",
         status: 200,
-        got: bookings.to_string(),
-        right: bookings == 1,
+        response: bookings.to_string(),
+        is_expected: bookings == 1,
     });
-    Ok(shown)
+    Ok(results)
 }
 
 fn bearer() -> String {
@@ -127,13 +127,13 @@
     .to_string()
 }
 
-fn ask_chat(
+fn post_chat(
     agent: &Agent,
-    at: SocketAddr,
+    entry: SocketAddr,
     stream: bool,
 ) -> Result<Response<ureq::Body>, ureq::Error> {
     agent
-        .post(format!("http://{at}/v1/chat/completions"))
+        .post(format!("http://{entry}/v1/chat/completions"))
         .header("authorization", bearer())
         .header("content-type", "application/json")
         .send(chat_body(stream))
@@ -149,23 +149,23 @@
     Ok((status, text))
 }
 
-fn completion(agent: &Agent, at: SocketAddr) -> Result<Shown, DemoError> {
-    let (status, text) = read(ask_chat(agent, at, false)?)?;
-    let answer: Value = serde_json::from_str(&text).unwrap_or_default();
-    let content = answer["choices"][0]["message"]["content"]
+fn completion(agent: &Agent, entry: SocketAddr) -> Result<RequestResult, DemoError> {
+    let (status, text) = read(post_chat(agent, entry, false)?)?;
+    let completion: Value = serde_json::from_str(&text).unwrap_or_default();
+    let content = completion["choices"][0]["message"]["content"]
         .as_str()
         .unwrap_or(&text);
-    let right = status == 200 && content == expected_answer(PROMPT, MAX_TOKENS);
-    Ok(Shown {
+    let is_expected = status == 200 && content == expected_answer(PROMPT, MAX_TOKENS);
+    Ok(RequestResult {
         request: "completion",
         status,
-        got: shorten(content),
-        right,
+        response: truncate(content),
+        is_expected,
     })
 }
 
-fn stream(agent: &Agent, at: SocketAddr) -> Result<Shown, DemoError> {
-    let (status, text) = read(ask_chat(agent, at, true)?)?;
+fn stream(agent: &Agent, entry: SocketAddr) -> Result<RequestResult, DemoError> {
+    let (status, text) = read(post_chat(agent, entry, true)?)?;
     let events = text.lines().filter_map(|line| line.strip_prefix("data: "));
     let chunks = events.filter_map(|data| serde_json::from_str::<Value>(data).ok());
     let tokens = chunks.filter_map(|chunk| {
@@ -174,76 +174,81 @@
             .map(str::to_owned)
     });
     let content: String = tokens.collect();
-    let whole = text.trim_end().ends_with("data: [DONE]");
-    let right = status == 200 && whole && content == expected_answer(PROMPT, MAX_TOKENS);
-    Ok(Shown {
-        request: "stream, through another entry",
+    let is_complete = text.trim_end().ends_with("data: [DONE]");
+    let is_expected =
+        status == 200 && is_complete && content == expected_answer(PROMPT, MAX_TOKENS);
+    Ok(RequestResult {
+        request: "stream from another entry",
         status,
-        got: shorten(&content),
-        right,
+        response: truncate(&content),
+        is_expected,
     })
 }
 
-fn book(agent: &Agent, at: SocketAddr) -> Result<Shown, DemoError> {
+fn book(agent: &Agent, entry: SocketAddr) -> Result<RequestResult, DemoError> {
     let response = agent
-        .post(format!("http://{at}/member-desk/orders"))
+        .post(format!("http://{entry}/member-desk/orders"))
         .header("authorization", bearer())
         .header("content-type", "application/json")
         .header("idempotency-key", BOOKING_KEY)
         .send(json!({ "pigment": "RAL 7035", "litres": 1 }).to_string())?;
-    let (status, got) = read(response)?;
-    Ok(Shown {
+    let (status, response) = read(response)?;
+    Ok(RequestResult {
         request: "booking",
         status,
-        right: (200..300).contains(&status),
-        got,
+        is_expected: (200..300).contains(&status),
+        response,
     })
 }
 
-fn reread(agent: &Agent, at: SocketAddr) -> Result<Shown, DemoError> {
+fn query_booking(agent: &Agent, entry: SocketAddr) -> Result<RequestResult, DemoError> {
     let response = agent
         .get(format!(
-            "http://{at}/member-desk/orders/by-key/{BOOKING_KEY}"
+            "http://{entry}/member-desk/orders/by-key/{BOOKING_KEY}"
         ))
         .header("authorization", bearer())
         .call()?;
-    let (status, got) = read(response)?;
-    Ok(Shown {
-        request: "rereading the booking",
+    let (status, response) = read(response)?;
+    Ok(RequestResult {
+        request: "query of the booking",
         status,
-        right: status == 200,
-        got,
+        is_expected: status == 200,
+        response,
     })
 }
 
-fn shorten(text: &str) -> String {
-    const SHOWN: usize = 48;
-    match text.char_indices().nth(SHOWN) {
+fn truncate(text: &str) -> String {
+    const MAX_CHARS: usize = 48;
+    match text.char_indices().nth(MAX_CHARS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text.to_owned(),
     }
 }
 
-fn print(shown: &[Shown], fleet: &Fleet, out: &mut impl std::io::Write) -> std::io::Result<()> {
+fn print(
+    results: &[RequestResult],
+    fleet: &Fleet,
+    out: &mut impl std::io::Write,
+) -> std::io::Result<()> {
     writeln!(
         out,
-        "{:<40} {:>6}  {:<5}  answer",
-        "request", "status", "right"
+        "{:<40} {:>6}  {:<5}  response",
+        "request", "status", "ok"
     )?;
-    for line in shown {
-        let right = if line.right { "yes" } else { "NO" };
-        let got = shorten(line.got.trim_end());
+    for result in results {
+        let ok = if result.is_expected { "yes" } else { "NO" };
+        let response = truncate(result.response.trim_end());
         writeln!(
             out,
-            "{:<40} {:>6}  {right:<5}  {got}",
-            line.request, line.status
+            "{:<40} {:>6}  {ok:<5}  {response}",
+            result.request, result.status
         )?;
     }
     writeln!(out)?;
     for (number, address) in fleet.http_addresses().iter().enumerate() {
         writeln!(
             out,
-            "entry-{} takes callers at http://{address}",
+            "entry-{} accepts requests at http://{address}",
             number + 1
         )?;
     }
--- a/src/coltsfootnotch/ops/error.rs
+++ b/src/coltsfootnotch/ops/error.rs
@@ -1,4 +1,4 @@
-//! Why an operators' command does not do what it was asked.
+//! Errors of the operators' commands.
 
 use std::io;
 use std::path::PathBuf;
@@ -12,18 +12,18 @@
 
 use super::operator_client::OperatorError;
 
-/// What a program that runs a command can tell apart.
+/// Class of a command's failure; each has its own exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureKind {
-    /// It failed, or a text has findings.
+    /// The command failed, or a file has findings.
     Failed,
-    /// The group refused it; the same command will be refused again.
+    /// The control group refused the command and will refuse it again.
     Refused,
-    /// Nobody answered, or the change is not everywhere yet; the same command may succeed later.
+    /// There was no answer, or the change is not in force everywhere yet; a retry may succeed.
     Unanswered,
 }
 
-/// Why an operators' command does not do what it was asked.
+/// Why an operators' command failed.
 #[derive(Debug, Display, Error, From)]
 pub enum OpsError {
     /// A file can't be read.
@@ -44,50 +44,50 @@
         /// The cause.
         source: io::Error,
     },
-    /// A key would be lost.
+    /// The file exists, and overwriting it destroys a key.
     #[display("the file {} exists", path.display())]
     #[from(skip)]
     Exists {
         /// The file.
         path: PathBuf,
     },
-    /// Texts have findings; they were printed.
+    /// Files have findings, which were printed.
     #[display("{count} findings")]
     #[from(skip)]
     Found {
-        /// How many.
+        /// Number of findings.
         count: usize,
     },
-    /// A text that is needed has findings.
+    /// Settings or a manifest have findings.
     #[display("{_0}")]
     Findings(Findings),
-    /// Nothing says where the control hosts are.
-    #[display("no control host is known")]
+    /// No control host was given.
+    #[display("no control host is given")]
     #[from(skip)]
     NoControl,
-    /// Nothing says where the operator's key is.
-    #[display("no folder with an operator's key is known")]
+    /// No folder with the operator's key was given.
+    #[display("no folder with the operator's key is given")]
     #[from(skip)]
     NoKeys,
     /// The operator's key can't be used.
     #[display("the operator's key can't be used")]
     Credentials(CredentialsError),
-    /// Keys can't be made.
-    #[display("the keys can't be made")]
+    /// Keys can't be generated.
+    #[display("the keys can't be generated")]
     Keys(KeysError),
-    /// The control group did not do it.
-    #[display("the control group did not do it")]
+    /// The request to the control group failed.
+    #[display("the request to the control group failed")]
     Operator(OperatorError),
-    /// The number was accepted with other content.
+    /// A configuration with this number and other content was accepted before.
     #[display("configuration {number} was accepted before with the digest {accepted}")]
     #[from(skip)]
     Conflict {
         /// The number.
         number: u64,
-        /// Digest of what was accepted under it.
+        /// Digest of the configuration that was accepted.
         accepted: BodyDigest,
     },
-    /// A higher number was accepted.
+    /// A configuration with a higher number was accepted.
     #[display("configuration {number} is stale: configuration {accepted} was accepted")]
     #[from(skip)]
     Stale {
@@ -96,49 +96,49 @@
         /// The number that was accepted.
         accepted: u64,
     },
-    /// The group refused the body.
+    /// The control group refused the configuration.
     #[display("the control group refused the configuration: {reason}")]
     #[from(skip)]
     Refused {
         /// Why.
         reason: String,
     },
-    /// The configuration is durable, but some hosts do not have it in force.
+    /// The configuration is accepted, but some hosts do not have it in force.
     #[display(
         "configuration {number} is accepted, but not in force on {}",
-        list(behind)
+        join_names(behind)
     )]
     #[from(skip)]
     Behind {
         /// The number.
         number: u64,
-        /// The hosts that do not have it.
+        /// The hosts that do not have it in force.
         behind: Vec<HostName>,
     },
-    /// No log names the request.
-    #[display("no line is about the request {id}")]
+    /// No log line names the request.
+    #[display("no log line names the request {id}")]
     #[from(skip)]
     NoRequest {
-        /// What was asked for.
+        /// Request ID.
         id: String,
     },
-    /// No event has that number.
+    /// The catalogue has no event with this code.
     #[display("there is no event {code}")]
     #[from(skip)]
     NoEvent {
-        /// What was asked for.
+        /// Event code.
         code: String,
     },
-    /// The output or a thread failed.
-    #[display("the system refused")]
+    /// The output can't be written, or the runtime can't be started.
+    #[display("an I/O operation failed")]
     Io(io::Error),
-    /// A control host answered with what is no status.
-    #[display("the status can't be read")]
+    /// A control host returned a status that can't be decoded.
+    #[display("the status can't be decoded")]
     Status(serde_json::Error),
 }
 
 impl OpsError {
-    /// What a program can tell apart.
+    /// Classifies the error.
     #[must_use]
     pub fn kind(&self) -> FailureKind {
         match self {
@@ -152,26 +152,26 @@
         }
     }
 
-    /// What to do about it, where that can be said.
+    /// Suggests what to do, where possible.
     #[must_use]
     pub fn help(&self) -> Option<&'static str> {
         match self {
-            Self::Exists { .. } => {
-                Some("--force makes a new one; the key that stands there is lost")
-            }
+            Self::Exists { .. } => Some("--force overwrites it; the existing key is lost"),
             Self::NoControl => Some("give --settings FILE of any host, or --control HOST=IP:PORT"),
             Self::NoKeys => Some("give --keys DIR with ca.pem, operator.pem and operator.key"),
             Self::Conflict { .. } => Some("give the changed manifest a higher number"),
-            Self::Stale { .. } => Some("a configuration never goes back: give a higher number"),
+            Self::Stale { .. } => {
+                Some("configurations can't be rolled back: give the manifest a higher number")
+            }
             Self::Behind { .. } => {
                 Some("`coltsfootnotch status` shows what each host has in force")
             }
             Self::NoRequest { .. } => Some(
-                "refusals and failures have a line each, answers one in 32; a host that was killed wrote none",
+                "refusals and failures are always logged, answers one in 32; a host that was killed logged nothing",
             ),
             Self::NoEvent { .. } => Some("docs/EVENTS.md lists every event"),
             Self::Read { .. } => {
-                Some("`coltsfootnotch keys` makes what is missing in a folder of keys")
+                Some("`coltsfootnotch keys` creates the missing files of a folder of keys")
             }
             Self::Operator(e) => operator_help(e),
             _ => None,
@@ -182,13 +182,11 @@
 fn operator_help(error: &OperatorError) -> Option<&'static str> {
     match error {
         OperatorError::NoControl => {
-            Some("look whether the control hosts run and whether the key is of their fleet")
-        }
-        OperatorError::Group(_) => {
-            Some("the same command may be given again: it takes effect once")
+            Some("check that the control hosts run and that the key belongs to their fleet")
         }
+        OperatorError::Group(_) => Some("the command can be repeated: it takes effect once"),
         OperatorError::Members(MembersError::NotConnected { .. }) => {
-            Some("start its control daemon with an empty data folder, then ask again")
+            Some("start its control daemon with an empty data folder, then repeat the command")
         }
         OperatorError::Members(MembersError::Unknown) => {
             Some("`coltsfootnotch status` shows whether the change took effect")
@@ -197,7 +195,7 @@
     }
 }
 
-fn list(hosts: &[HostName]) -> String {
+fn join_names(hosts: &[HostName]) -> String {
     let names: Vec<&str> = hosts.iter().map(HostName::as_str).collect();
     names.join(", ")
 }
--- a/src/coltsfootnotch/ops/explain.rs
+++ b/src/coltsfootnotch/ops/explain.rs
@@ -1,14 +1,14 @@
-//! `coltsfootnotch explain`: what an event of the log means.
+//! `coltsfootnotch explain`: describes a log event.
 
 use std::io::Write;
 
 use super::error::OpsError;
 use crate::util::events::find;
 
-/// Prints what the catalogue says of an event.
+/// Prints the catalogue's entry of an event.
 ///
 /// # Errors
-/// Returns [`OpsError::NoEvent`] for a code that is not in it.
+/// Returns [`OpsError::NoEvent`] for a code that is not in the catalogue.
 ///
 /// ```
 /// use coltsfootnotch::ops::explain::explain;
--- a/src/coltsfootnotch/ops/fleet/control_bytes.rs
+++ b/src/coltsfootnotch/ops/fleet/control_bytes.rs
@@ -1,21 +1,21 @@
-//! Control traffic of a fleet, by role.
+//! Control traffic of a fleet by role.
 
-/// Bytes of control messages that the hosts of each role have sent so far.
+/// Bytes of control messages sent by the hosts of each role.
 ///
-/// Counted where frames are written to control streams: the headers of QUIC, UDP and IP, and the
-/// keep-alives and acknowledgements of the connections, come on top.
+/// Counts the frames written to control streams, without the headers of QUIC, UDP and IP,
+/// keep-alives and acknowledgements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ControlBytes {
-    /// By all control hosts.
+    /// Sent by all control hosts.
     pub control: u64,
-    /// By all entries.
+    /// Sent by all entries.
     pub entries: u64,
-    /// By all sidecars.
+    /// Sent by all sidecars.
     pub sidecars: u64,
 }
 
 impl ControlBytes {
-    /// By all hosts.
+    /// Sent by all hosts.
     ///
     /// ```
     /// use coltsfootnotch::ops::fleet::ControlBytes;
@@ -27,7 +27,7 @@
         self.control + self.entries + self.sidecars
     }
 
-    /// What was sent since an earlier reading.
+    /// The bytes sent since an earlier reading.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
--- a/src/coltsfootnotch/ops/fleet/mod.rs
+++ b/src/coltsfootnotch/ops/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet in one process on loopback, through the same code as the daemons.
+//! A fleet in one process on loopback, with the code of the daemons.
 //!
-//! `demo`, `load --embedded` and the tests run it. Hosts have their own contexts, event loops and
-//! endpoints, and talk over UDP as separate processes do; stand-in upstreams announce themselves to
-//! the sidecars over HTTP.
+//! It is used by `demo`, `load --embedded` and tests. Each host has its own context, event loop and
+//! endpoint, and hosts communicate over UDP as separate processes do. Fake upstreams announce
+//! themselves to the sidecars over HTTP.
 
 mod control_bytes;
 mod plan;
--- a/src/coltsfootnotch/ops/fleet/plan.rs
+++ b/src/coltsfootnotch/ops/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet in one process is made of.
+//! The plan of a fleet in one process.
 
 use coltsfootnotch_decide::fair::ChoicePolicy;
 use coltsfootnotch_fakes::{EngineConfig, OrderConfig};
@@ -7,9 +7,9 @@
 use coltsfootnotch_types::prelude::*;
 use serde_json::{Value, json};
 
-/// Model that the stand-in engines serve.
+/// Model that the fake engines serve.
 pub(super) const MODEL: &str = "spec-llm";
-/// Service that the stand-in order services are of.
+/// Name of the service of the fake order services.
 pub(super) const SERVICE: &str = "member-desk";
 
 /// A client account of the fleet.
@@ -17,32 +17,32 @@
 pub struct AccountPlan {
     /// Its name.
     pub name: String,
-    /// Its weight.
+    /// Its weight in fair queueing.
     pub weight: u32,
-    /// Most requests of it that wait at one entry.
+    /// Maximum number of its queued requests at one entry.
     pub queue: u32,
-    /// Most requests a second at one entry; no limit without it.
+    /// Maximum number of requests per second at one entry; `None` for no limit.
     pub requests_per_s: Option<u32>,
 }
 
-/// What a fleet is made of; hosts are spread over the failure domains in turn.
+/// Hosts, upstreams and accounts of a fleet. Hosts are assigned to failure domains round robin.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
     /// Failure domains.
     pub domains: Vec<String>,
-    /// Control hosts.
+    /// Number of control hosts.
     pub control: usize,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub entries: usize,
-    /// Stand-in engines, each with a sidecar of its own.
+    /// Fake engines, each with its own sidecar.
     pub engines: Vec<EngineConfig>,
-    /// Stand-in order services, each with a sidecar of its own.
+    /// Fake order services, each with its own sidecar.
     pub services: Vec<OrderConfig>,
     /// Client accounts.
     pub accounts: Vec<AccountPlan>,
-    /// How sidecars choose whose work they pull.
+    /// Policy by which sidecars choose the account whose work they pull.
     pub policy: ChoicePolicy,
-    /// Times that the model's requests should meet; sidecars find by them how much engines hold.
+    /// Latency targets of the model, from which sidecars derive the capacity of engines.
     pub targets: Targets,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl FleetPlan {
-    /// Three control hosts, two entries, two engines and an order service.
+    /// Returns a plan of three control hosts, two entries, two engines and an order service.
     #[must_use]
     pub fn demo() -> Self {
         let engine = |number: u32| EngineConfig::new(format!("{MODEL}-{number}"), MODEL);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The manifest that the fleet is started with.
+    /// The manifest of the fleet.
     ///
     /// # Errors
     /// Returns findings when an account has no valid name or weight.
@@ -123,26 +123,26 @@
         Manifest::parse("embedded-manifest", &text.to_string())
     }
 
-    /// Sidecars that entry `number` connects to: all of its own failure domain, and a bounded number
-    /// for each pool of each other one.
+    /// Number of sidecars that an entry connects to: all in its own failure domain, and a bounded
+    /// number for each pool of each other domain.
     pub(super) fn contacts(&self, entry: usize) -> usize {
         let domains = self.domains.len().max(1);
-        let own = entry % domains;
+        let local = entry % domains;
         let engines = 0..self.engines.len();
         let services = engines.end..engines.end + self.services.len();
-        let of = |pool: &std::ops::Range<usize>, domain: usize| {
-            let there = pool.clone().filter(|sidecar| sidecar % domains == domain);
-            let most = if domain == own {
+        let count = |pool: &std::ops::Range<usize>, domain: usize| {
+            let in_domain = pool.clone().filter(|sidecar| sidecar % domains == domain);
+            let max = if domain == local {
                 usize::MAX
             } else {
                 REMOTE_CONTACTS
             };
-            there.count().min(most)
+            in_domain.count().min(max)
         };
         let pools = [engines, services];
         let counts = pools
             .iter()
-            .flat_map(|pool| (0..domains).map(|domain| of(pool, domain)));
+            .flat_map(|pool| (0..domains).map(|domain| count(pool, domain)));
         counts.sum()
     }
 
@@ -150,7 +150,7 @@
     pub(super) fn domain(&self, number: usize) -> DomainName {
         let name = self.domains.get(number % self.domains.len().max(1));
         let name = name.map_or("domain", String::as_str);
-        DomainName::new(name).unwrap_or_else(|e| panic!("a failure domain of the plan: {e}"))
+        DomainName::new(name).unwrap_or_else(|e| panic!("invalid failure domain in the plan: {e}"))
     }
 }
 
--- a/src/coltsfootnotch/ops/fleet/restart.rs
+++ b/src/coltsfootnotch/ops/fleet/restart.rs
@@ -1,4 +1,4 @@
-//! Sidecars of a running fleet that are reached, added and restarted one at a time.
+//! Adds and restarts sidecars of a running fleet.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -9,20 +9,20 @@
 use super::{Fleet, FleetPlan};
 use crate::daemon::StartError;
 
-/// Time for an address to be free again.
-const REBIND_PATIENCE: Duration = Duration::from_secs(2);
+/// Maximum time to wait until an address is free again.
+const REBIND_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Fleet {
-    /// The addresses on which the sidecars take announcements.
+    /// The addresses on which the sidecars accept announcements.
     #[must_use]
     pub fn announce_addresses(&self) -> Vec<SocketAddr> {
         self.sidecars.iter().map(|host| host.announce()).collect()
     }
 
-    /// Starts one more sidecar, without an upstream; the address on which it takes announcements.
+    /// Starts another sidecar, without an upstream, and returns its address for announcements.
     ///
     /// # Errors
-    /// Returns a [`FleetError`] when it can't be started.
+    /// Returns a [`FleetError`] when the sidecar can't be started.
     pub fn add_sidecar(
         &mut self,
         plan: &FleetPlan,
@@ -35,11 +35,11 @@
         Ok(announce)
     }
 
-    /// Stops sidecar `number` gracefully and starts it again, as another run of the same host, with
-    /// the same address for announcements.
+    /// Restarts sidecar `number` gracefully, with a new incarnation and the same address for
+    /// announcements.
     ///
     /// # Errors
-    /// Returns a [`FleetError`] when it can't be started.
+    /// Returns a [`FleetError`] when the sidecar can't be started.
     pub fn restart_sidecar(
         &mut self,
         plan: &FleetPlan,
@@ -50,11 +50,11 @@
         let announce = old.announce();
         old.stop();
         old.join();
-        // The task that held the address ends a moment after its sidecar.
-        let until = Instant::now() + REBIND_PATIENCE;
+        // The address is released shortly after the sidecar has stopped.
+        let deadline = Instant::now() + REBIND_TIMEOUT;
         let new = loop {
             match self.sidecar(plan, number, announce, rng) {
-                Err(FleetError::Start(StartError::Io(_))) if Instant::now() < until => {
+                Err(FleetError::Start(StartError::Io(_))) if Instant::now() < deadline => {
                     std::thread::sleep(Duration::from_millis(10));
                 }
                 started => break started?,
--- a/src/coltsfootnotch/ops/fleet/running.rs
+++ b/src/coltsfootnotch/ops/fleet/running.rs
@@ -1,4 +1,4 @@
-//! The fleet as it runs, and the order in which it starts and stops.
+//! A running fleet: starts and stops its hosts and upstreams.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -24,32 +24,32 @@
 use crate::daemon::{ControlAddress, StartError};
 use crate::ops::operator_client::{OperatorClient, OperatorError};
 
-/// Loopback, any port.
+/// Any port on loopback.
 const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// Time for a fleet to elect a leader, take its manifest and see its upstreams.
-const START_PATIENCE: Duration = Duration::from_secs(30);
-/// Time for requests in progress when the fleet stops.
-const SHUTDOWN: Duration = Duration::from_secs(10);
-/// Blocking calls at once over all sidecars; each request in progress takes a thread.
+/// Maximum time for a fleet to elect a leader, apply its manifest and connect its upstreams.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum time for requests in progress to complete when the fleet stops.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of blocking calls of all sidecars; each request in progress uses a thread.
 const BLOCKING_THREADS: usize = 4096;
 
-/// Why a fleet can't run.
+/// Why a fleet can't start or be operated.
 #[derive(Debug, Display, Error, From)]
 pub enum FleetError {
-    /// Its keys can't be made.
-    #[display("the fleet's keys can't be made")]
+    /// The keys can't be generated.
+    #[display("the fleet's keys can't be generated")]
     Keys(KeysError),
-    /// Its keys can't be used.
+    /// The keys can't be used.
     #[display("the fleet's keys can't be used")]
     Credentials(CredentialsError),
     /// A control host can't start.
     #[display("a control host can't start")]
     Control(ControlError),
-    /// Another host can't start.
-    #[display("a host can't start")]
+    /// An entry or sidecar can't start.
+    #[display("an entry or sidecar can't start")]
     Start(StartError),
-    /// A port, folder or thread can't be had.
-    #[display("a port, folder or thread can't be had")]
+    /// A socket, folder or thread can't be created.
+    #[display("a socket, folder or thread can't be created")]
     Io(io::Error),
     /// The manifest has findings.
     #[display("the manifest has findings")]
@@ -63,12 +63,12 @@
     #[from(skip)]
     Refused(String),
     /// The fleet was not ready in time.
-    #[display("the fleet was not ready in {} s", START_PATIENCE.as_secs())]
+    #[display("the fleet was not ready in {} s", START_TIMEOUT.as_secs())]
     #[from(skip)]
     NotReady,
 }
 
-/// A fleet that runs in this process.
+/// A fleet running in this process.
 pub struct Fleet {
     controls: Vec<ControlHandle>,
     entries: Vec<EntryHandle>,
@@ -88,7 +88,7 @@
     /// Starts every host and upstream and waits until requests can be served.
     ///
     /// # Errors
-    /// Returns a [`FleetError`] when a part can't start or the whole is not ready in time.
+    /// Returns a [`FleetError`] when a host can't start or the fleet is not ready in time.
     pub fn start(plan: &FleetPlan, rng: &mut impl Rng) -> Result<Self, FleetError> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
@@ -116,57 +116,57 @@
         Ok(fleet)
     }
 
-    /// Addresses for callers.
+    /// HTTP addresses of the entries.
     #[must_use]
     pub fn http_addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(EntryHandle::http_address).collect()
     }
 
-    /// The stand-in engines.
+    /// The fake engines.
     #[must_use]
     pub fn engines(&self) -> &[EngineHandle] {
         &self.engines
     }
 
-    /// The stand-in order services.
+    /// The fake order services.
     #[must_use]
     pub fn services(&self) -> &[OrderHandle] {
         &self.services
     }
 
-    /// The manifest in force at the start.
+    /// The manifest that the fleet was started with.
     #[must_use]
     pub fn manifest(&self) -> &Manifest {
         &self.manifest
     }
 
-    /// Hosts of the fleet.
+    /// Number of hosts of the fleet.
     #[must_use]
     pub fn hosts(&self) -> usize {
         self.hosts
     }
 
-    /// Bytes of control messages that the hosts have sent each other so far.
+    /// Bytes of control messages that all hosts have sent.
     #[must_use]
     pub fn control_bytes(&self) -> u64 {
         self.control_bytes_by_role().total()
     }
 
-    /// The same, apart for each role.
+    /// Bytes of control messages that the hosts of each role have sent.
     #[must_use]
     pub fn control_bytes_by_role(&self) -> ControlBytes {
-        let of = |traffic: Arc<Traffic>| traffic.sent();
+        let sent = |traffic: Arc<Traffic>| traffic.sent();
         ControlBytes {
-            control: self.controls.iter().map(|host| of(host.traffic())).sum(),
-            entries: self.entries.iter().map(|host| of(host.traffic())).sum(),
-            sidecars: self.sidecars.iter().map(|host| of(host.traffic())).sum(),
+            control: self.controls.iter().map(|host| sent(host.traffic())).sum(),
+            entries: self.entries.iter().map(|host| sent(host.traffic())).sum(),
+            sidecars: self.sidecars.iter().map(|host| sent(host.traffic())).sum(),
         }
     }
 
-    /// A client with an operator's key.
+    /// Connects a client with an operator's credentials.
     ///
     /// # Errors
-    /// Returns an error when no control host answers.
+    /// Returns an error when no control host is connected in time.
     pub fn operator(&self) -> Result<OperatorClient, FleetError> {
         let host = HostName::new("operator").map_err(|_| FleetError::NotReady)?;
         let credentials = self.credentials(Role::Operator, &host)?;
@@ -175,11 +175,11 @@
             runtime,
             &credentials,
             &self.control_addresses,
-            START_PATIENCE,
+            START_TIMEOUT,
         )?)
     }
 
-    /// Stops everything, gracefully, upstreams last.
+    /// Stops the fleet gracefully: entries, sidecars, upstreams, then control hosts.
     pub fn stop(self) {
         self.entries.iter().for_each(EntryHandle::stop);
         self.entries.into_iter().for_each(EntryHandle::join);
@@ -193,7 +193,7 @@
         }
         self.controls.iter().for_each(ControlHandle::stop);
         for control in self.controls {
-            let _ended_with_the_fleet = control.join();
+            let _outcome = control.join();
         }
         self.runtime.shutdown_background();
     }
@@ -224,17 +224,17 @@
 
     fn start_controls(&mut self, plan: &FleetPlan, rng: &mut impl Rng) -> Result<(), FleetError> {
         let addresses = self.control_addresses.clone();
-        for (number, known) in addresses.iter().enumerate() {
-            let cx = self.cx(Role::Control, &known.host, plan.domain(number), rng);
-            let credentials = self.credentials(Role::Control, &known.host)?;
-            let data = self.data_of(&known.host);
-            let cfg = ControlConfig::new(known.address, credentials, data, addresses.clone());
+        for (number, control) in addresses.iter().enumerate() {
+            let cx = self.cx(Role::Control, &control.host, plan.domain(number), rng);
+            let credentials = self.credentials(Role::Control, &control.host)?;
+            let data = self.data_folder(&control.host);
+            let cfg = ControlConfig::new(control.address, credentials, data, addresses.clone());
             self.controls.push(control::start(cx, cfg)?);
         }
         Ok(())
     }
 
-    fn data_of(&self, host: &HostName) -> std::path::PathBuf {
+    fn data_folder(&self, host: &HostName) -> std::path::PathBuf {
         let data: &Path = self._data.path();
         data.join(host.as_str())
     }
@@ -249,7 +249,7 @@
                 control: self.control_addresses.clone(),
                 credentials: self.credentials(Role::Entry, &host)?,
                 limits: self.limits.clone(),
-                shutdown: SHUTDOWN,
+                shutdown: SHUTDOWN_TIMEOUT,
             };
             self.entries.push(entry::start(cx, cfg)?);
         }
@@ -299,7 +299,7 @@
             control: self.control_addresses.clone(),
             credentials: self.credentials(Role::Sidecar, &host)?,
             limits: self.limits.clone(),
-            shutdown: SHUTDOWN,
+            shutdown: SHUTDOWN_TIMEOUT,
             policy: plan.policy,
             drift: DriftBound::DEFAULT,
         };
@@ -308,15 +308,15 @@
 
     fn apply_manifest(&self) -> Result<(), FleetError> {
         let operator = self.operator()?;
-        match operator.apply(&self.manifest, START_PATIENCE)? {
+        match operator.apply(&self.manifest, START_TIMEOUT)? {
             Reply::Config(ConfigReply::Accepted { .. }) => Ok(()),
             other => Err(FleetError::Refused(format!("{other:?}"))),
         }
     }
 
-    /// Waits until every entry has the configuration and is connected to the sidecars it is to know.
+    /// Waits until every entry has the configuration and is connected to its sidecars.
     fn wait_ready(&self, plan: &FleetPlan) -> Result<(), FleetError> {
-        let until = Instant::now() + START_PATIENCE;
+        let deadline = Instant::now() + START_TIMEOUT;
         let model = self.manifest.models.first().map(|model| model.name.clone());
         let service = self
             .manifest
@@ -330,7 +330,7 @@
         .into_iter()
         .flatten()
         .collect();
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             let ready = |(number, entry): (usize, &EntryHandle)| {
                 let connected = entry.connected_sidecars() >= plan.contacts(number);
                 (entry.readiness())() && entry.has_sidecars_for(&pools) && connected
@@ -344,7 +344,7 @@
     }
 }
 
-/// The bounds of settings that state none.
+/// The default limits of settings.
 fn default_limits() -> Result<Limits, Findings> {
     let text = r#"{
         "role": "entry", "host": "e", "domain": "d", "region": "r",
@@ -359,7 +359,7 @@
     HostName::new(format!("{role}-{}", number + 1)).map_err(|_| FleetError::NotReady)
 }
 
-/// Control hosts must know each other's addresses before they start: free ports are looked for.
+/// Picks free ports for the control hosts, which need each other's addresses to start.
 fn control_addresses(plan: &FleetPlan) -> Result<Vec<ControlAddress>, FleetError> {
     let sockets: Vec<UdpSocket> = (0..plan.control)
         .map(|_| UdpSocket::bind(ANY))
--- a/src/coltsfootnotch/ops/fleet_status.rs
+++ b/src/coltsfootnotch/ops/fleet_status.rs
@@ -1,55 +1,55 @@
-//! The state of the fleet as control hosts tell it to operators.
+//! State of the fleet, as reported by control hosts to operators.
 
 use std::collections::BTreeMap;
 
 use coltsfootnotch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// What one control host knows.
+/// Status report of a control host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
     /// The control host that answered.
     pub answered_by: HostName,
-    /// Its place in the control group.
+    /// Its membership in the control group.
     pub group: MemberStatus,
     /// The configuration that it has applied.
     pub configuration: Option<ConfigStatus>,
-    /// The hosts that it knows.
+    /// The hosts of the fleet.
     pub hosts: Vec<HostStatus>,
     /// The pools that sidecars serve.
     pub pools: Vec<PoolStatus>,
     /// The client accounts.
     pub accounts: Vec<AccountStatus>,
-    /// Calls that may not be repeated.
+    /// Records of calls that may not be repeated.
     pub ledger: LedgerStatus,
 }
 
 /// A member of the control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its host.
+    /// Host name.
     pub host: HostName,
-    /// What it is in the group.
+    /// Its role in the group.
     pub role: String,
-    /// Its term.
+    /// Its current term.
     pub term: u64,
-    /// The leader that it knows.
+    /// The leader, if one is known.
     pub leader: Option<HostName>,
-    /// Last entry that is committed.
+    /// Index of the last committed entry.
     pub commit: u64,
-    /// Last entry that it has applied.
+    /// Index of the last entry that it has applied.
     pub applied: u64,
-    /// Last entry of its log.
+    /// Index of the last entry of its log.
     pub last: u64,
-    /// Last entry of its snapshot.
+    /// Index of the last entry in its snapshot.
     pub snapshot: u64,
-    /// Members that count.
+    /// Voting members.
     pub voters: Vec<HostName>,
-    /// Members that do not count yet.
+    /// Members that do not vote yet.
     pub learners: Vec<HostName>,
 }
 
-/// A configuration.
+/// The configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigStatus {
     /// Its number.
@@ -60,18 +60,18 @@
     pub behind: Vec<HostName>,
 }
 
-/// A host.
+/// A host of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostStatus {
     /// Its name.
     pub host: HostName,
-    /// The run of its process.
+    /// Identifies the run of its process.
     pub incarnation: String,
-    /// `present`, `leaving` or `gone`.
+    /// Whether it is `present`, `leaving` or `gone`.
     pub presence: String,
-    /// Number of the configuration it has in force.
+    /// Number of the configuration that it has in force.
     pub config: u64,
-    /// What it does.
+    /// Its role.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<Role>,
     /// Its failure domain.
@@ -89,7 +89,7 @@
     pub pool: PoolName,
     /// The host of its sidecar.
     pub host: HostName,
-    /// Upstreams there.
+    /// Number of its upstreams.
     pub upstreams: u32,
 }
 
@@ -98,40 +98,42 @@
 pub struct AccountStatus {
     /// Its name.
     pub account: AccountName,
-    /// Service that it has received over the fleet, in service units.
+    /// Service received from the whole fleet, in service units.
     pub service: u64,
 }
 
-/// Calls that may not be repeated.
+/// Ledger of calls that may not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerStatus {
-    /// Accounts with records.
+    /// Number of accounts with records.
     pub accounts: usize,
-    /// Records.
+    /// Number of records.
     pub records: u64,
-    /// Records whose outcome is not known yet.
+    /// Number of records whose outcome is not known yet.
     pub open: u64,
 }
 
-/// Every live host and the newest configuration that any control host knows it to have in force.
+/// The number of the configuration in force on each live host.
 ///
-/// A host never goes back to an earlier configuration, so the newest that anybody has seen holds.
+/// A host never reverts to an earlier configuration, so the highest number that a control host
+/// reports is the current one.
 #[must_use]
-pub fn config_by_host(answers: &[FleetStatus]) -> BTreeMap<HostName, u64> {
+pub fn config_by_host(statuses: &[FleetStatus]) -> BTreeMap<HostName, u64> {
     let mut newest = BTreeMap::new();
-    let hosts = answers.iter().flat_map(|answer| &answer.hosts);
+    let hosts = statuses.iter().flat_map(|status| &status.hosts);
     for host in hosts.filter(|host| host.presence != "gone") {
-        let known = newest.entry(host.host.clone()).or_insert(host.config);
-        *known = host.config.max(*known);
+        let number = newest.entry(host.host.clone()).or_insert(host.config);
+        *number = host.config.max(*number);
     }
     newest
 }
 
-/// The answer to show: the leader's, since it has applied the most.
+/// The most recent status: the leader's, or else that of the member that has applied the most.
 #[must_use]
-pub fn most_recent(answers: &[FleetStatus]) -> Option<&FleetStatus> {
-    let leads = |answer: &&FleetStatus| answer.group.leader.as_ref() == Some(&answer.answered_by);
-    let newest = |answer: &&FleetStatus| answer.group.applied;
-    let leader = answers.iter().filter(leads).max_by_key(newest);
-    leader.or_else(|| answers.iter().max_by_key(newest))
+pub fn most_recent(statuses: &[FleetStatus]) -> Option<&FleetStatus> {
+    let is_leader =
+        |status: &&FleetStatus| status.group.leader.as_ref() == Some(&status.answered_by);
+    let applied = |status: &&FleetStatus| status.group.applied;
+    let leader = statuses.iter().filter(is_leader).max_by_key(applied);
+    leader.or_else(|| statuses.iter().max_by_key(applied))
 }
--- a/src/coltsfootnotch/ops/keys.rs
+++ b/src/coltsfootnotch/ops/keys.rs
@@ -1,7 +1,7 @@
-//! `coltsfootnotch keys`: the fleet's authority, and the keys that it issues.
+//! `coltsfootnotch keys`: generates the fleet's certificate authority and issues keys.
 //!
-//! A private key is written once, readable by its owner alone, and never written over unless the
-//! operator says so: a host whose key is replaced by accident is shut out of its fleet.
+//! Private keys are readable by their owner alone and are overwritten only with `--force`: a host
+//! whose key is replaced by accident can't connect to its fleet.
 
 use std::fs::OpenOptions;
 use std::io::{self, Write};
@@ -15,16 +15,16 @@
 use super::access::{read, read_settings};
 use super::error::OpsError;
 
-/// Name of the authority's files.
+/// File name, without extension, of the authority's certificate and key.
 pub(super) const CA: &str = "ca";
-/// Name of the files of the operators' key.
+/// File name, without extension, of the operators' certificate and key.
 pub(super) const OPERATOR: &str = "operator";
-/// Mode of a private key: its owner alone.
-const PRIVATE: u32 = 0o600;
-/// Mode of a certificate.
-const PUBLIC: u32 = 0o644;
+/// File mode of a private key.
+const PRIVATE_MODE: u32 = 0o600;
+/// File mode of a certificate.
+const PUBLIC_MODE: u32 = 0o644;
 
-/// Makes an authority in a folder, and an operator's key.
+/// Generates an authority and an operator's key in a folder.
 ///
 /// # Errors
 /// Returns an error when a file exists and `force` is not given, or can't be written.
@@ -35,14 +35,20 @@
     })?;
     let authority = Authority::generate()?;
     let key = folder.join(format!("{CA}.key"));
-    write(&key, &authority.key(), PRIVATE, force, out)?;
+    write(&key, &authority.key(), PRIVATE_MODE, force, out)?;
     let certificate = folder.join(format!("{CA}.pem"));
-    write(&certificate, authority.certificate(), PUBLIC, force, out)?;
+    write(
+        &certificate,
+        authority.certificate(),
+        PUBLIC_MODE,
+        force,
+        out,
+    )?;
     let operator = HostName::new(OPERATOR).expect("a valid name");
     issue(folder, Role::Operator, &operator, force, out)
 }
 
-/// Issues a key with the authority in a folder.
+/// Issues a key, signed by the authority in a folder.
 ///
 /// # Errors
 /// Returns an error when there is no authority, or a file exists and `force` is not given.
@@ -53,20 +59,20 @@
     force: bool,
     out: &mut impl Write,
 ) -> Result<(), OpsError> {
-    let authority = authority(folder)?;
+    let authority = read_authority(folder)?;
     let peer = PeerId {
         role,
         host: host.clone(),
     };
     let certificate = folder.join(format!("{host}.pem"));
     let key = folder.join(format!("{host}.key"));
-    issue_to(&authority, &peer, &certificate, &key, force, out)
+    write_keys(&authority, &peer, &certificate, &key, force, out)
 }
 
-/// Issues keys for all settings files, where each of them expects its own; those that stand are kept.
-/// An authority is made where there is none.
+/// Issues the keys that settings files name, and generates the authority if it does not exist.
+/// Existing keys are kept unless `force` is given.
 ///
-/// `paths` are settings files, or folders with such files in them or in their `hosts`.
+/// `paths` are settings files, or folders that contain them directly or in a subfolder `hosts`.
 ///
 /// # Errors
 /// Returns an error when settings have findings or a file can't be written.
@@ -78,10 +84,10 @@
         }
     }
     all.iter()
-        .try_for_each(|settings| issue_to_settings(settings, force, out))
+        .try_for_each(|settings| issue_for_settings(settings, force, out))
 }
 
-fn issue_to_settings(
+fn issue_for_settings(
     settings: &Settings,
     force: bool,
     out: &mut impl Write,
@@ -99,10 +105,17 @@
         role: settings.role,
         host: settings.host.clone(),
     };
-    issue_to(&authority(folder)?, &peer, certificate, key, force, out)
+    write_keys(
+        &read_authority(folder)?,
+        &peer,
+        certificate,
+        key,
+        force,
+        out,
+    )
 }
 
-fn issue_to(
+fn write_keys(
     authority: &Authority,
     peer: &PeerId,
     certificate: &Path,
@@ -111,17 +124,17 @@
     out: &mut impl Write,
 ) -> Result<(), OpsError> {
     let issued = authority.issue(peer)?;
-    write(key, &issued.key, PRIVATE, force, out)?;
-    write(certificate, &issued.certificate, PUBLIC, force, out)
+    write(key, &issued.key, PRIVATE_MODE, force, out)?;
+    write(certificate, &issued.certificate, PUBLIC_MODE, force, out)
 }
 
-fn authority(folder: &Path) -> Result<Authority, OpsError> {
+fn read_authority(folder: &Path) -> Result<Authority, OpsError> {
     let certificate = read(&folder.join(format!("{CA}.pem")))?;
     let key = read(&folder.join(format!("{CA}.key")))?;
     Ok(Authority::from_pem(certificate, &key)?)
 }
 
-/// The settings files that a path stands for, in the order of their names.
+/// The settings files at a path, sorted by name.
 fn settings_files(path: &Path) -> Result<Vec<PathBuf>, OpsError> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
@@ -142,7 +155,7 @@
     Ok(files)
 }
 
-/// Writes a file whole or not at all.
+/// Writes a file atomically.
 fn write(
     path: &Path,
     text: &str,
@@ -159,7 +172,7 @@
         path: path.to_owned(),
         source,
     };
-    // A key that is cut short by a full disk must not stand under its name.
+    // Write to a temporary file first, so that a full disk does not leave a truncated key.
     let mut part = path.as_os_str().to_owned();
     part.push(".part");
     write_new(Path::new(&part), text, mode).map_err(failed)?;
--- a/src/coltsfootnotch/ops/member.rs
+++ b/src/coltsfootnotch/ops/member.rs
@@ -1,4 +1,4 @@
-//! `coltsfootnotch member`: who belongs to the control group.
+//! `coltsfootnotch member`: changes the members of the control group.
 
 use std::io::Write;
 
@@ -7,24 +7,24 @@
 use super::access::Access;
 use super::error::OpsError;
 
-/// A change of the control group; one at a time.
+/// A membership change; the group makes one at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberChange {
-    /// A host joins.
+    /// Adds a host.
     Add {
-        /// The newcomer; its daemon runs with an empty data folder.
+        /// The new member; its daemon runs with an empty data folder.
         host: HostName,
     },
-    /// A host leaves.
+    /// Removes a host.
     Remove {
         /// The host.
         host: HostName,
     },
-    /// A host takes the place of another, or comes back with an empty data folder.
+    /// Replaces a host by another, or by itself with an empty data folder.
     Replace {
-        /// The host whose member is removed once the newcomer counts.
+        /// The host whose member is removed once the new member votes.
         host: HostName,
-        /// The newcomer.
+        /// The new member.
         with: HostName,
     },
 }
@@ -32,25 +32,25 @@
 /// Changes the control group.
 ///
 /// # Errors
-/// Returns why the members were not changed.
+/// Returns an error when the members were not changed or the outcome is not known.
 pub fn member(
     access: &Access,
     change: &MemberChange,
     out: &mut impl Write,
 ) -> Result<(), OpsError> {
-    let connected = access.connect()?;
-    let (client, patience) = (&connected.client, access.timeout);
+    let connection = access.connect()?;
+    let (client, timeout) = (&connection.client, access.timeout);
     match change {
         MemberChange::Add { host } => {
-            client.admit(host, None, patience)?;
-            writeln!(out, "{host} is admitted; it counts once it has caught up")?;
+            client.admit(host, None, timeout)?;
+            writeln!(out, "{host} is admitted; it votes once it has caught up")?;
         }
         MemberChange::Remove { host } => {
-            client.remove(host, patience)?;
+            client.remove(host, timeout)?;
             writeln!(out, "{host} is removed")?;
         }
         MemberChange::Replace { host, with } => {
-            client.admit(with, Some(host), patience)?;
+            client.admit(with, Some(host), timeout)?;
             writeln!(
                 out,
                 "{with} is admitted; {host} is removed once it has caught up"
--- a/src/coltsfootnotch/ops/mod.rs
+++ b/src/coltsfootnotch/ops/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands do.
+//! Implementation of the commands.
 
 pub mod access;
 pub mod apply;
--- a/src/coltsfootnotch/ops/operator_client.rs
+++ b/src/coltsfootnotch/ops/operator_client.rs
@@ -1,8 +1,8 @@
-//! The operators' connections to the control group.
+//! Client of the control group for operators.
 //!
-//! Every control host is dialled. A question goes to one of them; when its answer does not come in
-//! time the next question goes to another, since a control host that is frozen or cut off keeps its
-//! connection for as long as the idle timeout, and an operator must not wait for it.
+//! It connects to every control host and sends each request to one of them. After a timeout the
+//! next request goes to another: the connection to a control host that is stalled or partitioned
+//! stays open until the idle timeout.
 
 mod links;
 
@@ -24,43 +24,43 @@
 use crate::core::{ProposalError, decode_reply, encode_op};
 use crate::daemon::ControlAddress;
 
-/// Time before an unanswered question is put to the group again; a command is safe to repeat.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
-/// Operators run on a host of their own, or on one whose fleet port is taken by its daemon.
+/// Time to wait for a reply before the request is resent; proposals and queries are safe to repeat.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Any port: on a host of the fleet, the daemon uses the fleet port.
 const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// Time for a change of members to be answered: a control host waits 1.5 s for a leader and 3 s for the
-/// commit, and then says that it does not know.
-const MEMBERS_ANSWER: Duration = Duration::from_secs(6);
-/// Pause before a refused question is put again: elections end within a second.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Time to wait for the reply to a membership change. A control host waits 1.5 s for a leader and
+/// 3 s for the commit before it replies that the outcome is unknown.
+const MEMBERS_TIMEOUT: Duration = Duration::from_secs(6);
+/// Delay before a refused request is retried; elections take less than a second.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why an operator gets no answer.
+/// Why a request to the control group failed.
 #[derive(Debug, Display, Error, From)]
 pub enum OperatorError {
-    /// The endpoint can't be made.
+    /// The endpoint can't be started.
     #[display("the operator's endpoint can't be started")]
     Endpoint(EndpointError),
-    /// The message is too large.
+    /// The message can't be encoded.
     #[display("the message can't be sent")]
     Codec(CodecError),
     /// No control host answers.
     #[display("no control host answers")]
     #[from(skip)]
     NoControl,
-    /// The group can't answer.
-    #[display("the control group can't answer")]
+    /// The proposal to the control group failed.
+    #[display("the proposal to the control group failed")]
     Group(ProposeError),
     /// The members were not changed.
     #[display("the members of the control group were not changed")]
     Members(MembersError),
-    /// The answer can't be read.
-    #[display("the answer of the control group can't be read")]
+    /// The reply can't be decoded.
+    #[display("the reply of the control group can't be decoded")]
     Answer(ProposalError),
 }
 
 impl OperatorError {
-    /// Whether the same command may succeed later, since nobody refused it.
+    /// Whether the request got no definite answer, so that a retry may succeed.
     #[must_use]
     pub fn is_unanswered(&self) -> bool {
         match self {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Connections to the control hosts that answer.
+/// A client with connections to the control hosts.
 pub struct OperatorClient {
     links: Mutex<Links>,
     next_id: AtomicU64,
@@ -84,34 +84,34 @@
 }
 
 impl OperatorClient {
-    /// Connects to any of the control hosts.
+    /// Connects to the control hosts and waits for the first connection.
     ///
     /// # Errors
-    /// Returns an error when none answers within `patience`.
+    /// Returns an error when none is connected within `timeout`.
     pub fn connect(
         runtime: &Handle,
         credentials: &Credentials,
         control: &[ControlAddress],
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Self, OperatorError> {
         let (tx, events) = mpsc::channel();
         let tx = Mutex::new(tx);
         let handler = move |event| {
             let tx = tx.lock().unwrap_or_else(PoisonError::into_inner);
-            let _client_may_have_gone = tx.send(event);
+            let _client_may_be_dropped = tx.send(event);
         };
-        // An operator's command is a process of its own; nothing is addressed to its incarnation.
+        // Control hosts don't address messages to an operator's incarnation.
         let endpoint = Endpoint::bind(runtime, ANY, credentials, Incarnation(0), handler)?;
-        let dial = |known: &ControlAddress| {
+        let dial = |control: &ControlAddress| {
             let peer = PeerId {
                 role: Role::Control,
-                host: known.host.clone(),
+                host: control.host.clone(),
             };
-            endpoint.dial(known.address, peer)
+            endpoint.dial(control.address, peer)
         };
         let dialed = control.iter().map(dial).collect();
         let mut links = Links::new(events);
-        if !links.wait_for_one(patience) {
+        if !links.wait_connected(timeout) {
             return Err(OperatorError::NoControl);
         }
         Ok(Self {
@@ -122,11 +122,11 @@
         })
     }
 
-    /// Applies a manifest. Answers when it is durable; the same manifest may be applied again.
+    /// Applies a manifest and returns once it is durable. Applying the same manifest again is safe.
     ///
     /// # Errors
-    /// Returns an error when the group does not answer within `patience`.
-    pub fn apply(&self, manifest: &Manifest, patience: Duration) -> Result<Reply, OperatorError> {
+    /// Returns an error when the group does not answer within `timeout`.
+    pub fn apply(&self, manifest: &Manifest, timeout: Duration) -> Result<Reply, OperatorError> {
         let body = manifest.to_body();
         let digest = BodyDigest::of(&body);
         let number = manifest.number;
@@ -136,96 +136,97 @@
                 digest,
                 body,
             }),
-            patience,
+            timeout,
         )
     }
 
-    /// Proposes an operation, again and again until the group answers.
+    /// Proposes an operation and retries until the group answers.
     ///
     /// # Errors
-    /// Returns an error when the group does not answer within `patience`.
-    pub fn propose(&self, op: &Op, patience: Duration) -> Result<Reply, OperatorError> {
+    /// Returns an error when the group does not answer within `timeout`.
+    pub fn propose(&self, op: &Op, timeout: Duration) -> Result<Reply, OperatorError> {
         let command = encode_op(op);
-        let until = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         loop {
-            let answer = self.ask(
-                until,
+            let reply = self.request(
+                deadline,
                 |id| ToRelay::Propose {
                     id,
                     command: command.clone(),
                 },
-                |id, answer| match answer {
+                |id, message| match message {
                     FromRelay::Proposed { id: of, reply } if of == id => Some(reply),
                     _ => None,
                 },
             )?;
-            let refused = match answer {
+            let error = match reply {
                 Some(Ok(reply)) => return Ok(decode_reply(&reply)?),
                 Some(Err(ProposeError::BadCommand)) => return Err(ProposeError::BadCommand.into()),
                 Some(Err(e)) => e,
                 None => ProposeError::Unknown,
             };
-            if Instant::now() >= until {
-                return Err(refused.into());
+            if Instant::now() >= deadline {
+                return Err(error.into());
             }
-            self.ask_another();
+            self.select_next_host();
         }
     }
 
-    /// The state of the fleet as JSON, as the first control host that answers knows it.
+    /// The status of the fleet as JSON, from the first control host that answers.
     ///
     /// # Errors
-    /// Returns an error when no control host answers within `patience`.
-    pub fn status(&self, patience: Duration) -> Result<String, OperatorError> {
-        let until = Instant::now() + patience;
-        while Instant::now() < until {
-            let answer = self.ask(until, |id| ToRelay::Status { id }, status_of)?;
-            if let Some(json) = answer {
+    /// Returns an error when no control host answers within `timeout`.
+    pub fn status(&self, timeout: Duration) -> Result<String, OperatorError> {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
+            let reply = self.request(deadline, |id| ToRelay::Status { id }, status_of)?;
+            if let Some(json) = reply {
                 return Ok(json);
             }
         }
         Err(OperatorError::NoControl)
     }
 
-    /// The state of the fleet as JSON, from each control host that answers in time.
+    /// The status of the fleet as JSON, from each control host that answers in time.
     ///
     /// # Errors
-    /// Returns an error when a question can't be sent.
+    /// Returns an error when a request can't be sent.
     pub fn status_of_each(&self) -> Result<Vec<String>, OperatorError> {
         let mut links = self.lock();
-        let mut asked = Vec::new();
+        let mut pending = Vec::new();
         for tx in links.all() {
             let id = self.next_id();
             tx.send(&Message::ToRelay(ToRelay::Status { id }))?;
-            asked.push(id);
+            pending.push(id);
         }
-        let until = Instant::now() + ASK_AGAIN;
-        let mut answers = Vec::new();
-        while !asked.is_empty() {
-            let of_any = |answer| match answer {
-                FromRelay::Status { id, json } if asked.contains(&id) => Some((id, json)),
+        let deadline = Instant::now() + REPLY_TIMEOUT;
+        let mut statuses = Vec::new();
+        while !pending.is_empty() {
+            let of_pending = |message| match message {
+                FromRelay::Status { id, json } if pending.contains(&id) => Some((id, json)),
                 _ => None,
             };
-            let Some((id, json)) = links.wait_for(until, None, of_any) else {
+            let Some((id, json)) = links.wait_reply(deadline, None, of_pending) else {
                 break;
             };
-            asked.retain(|of| *of != id);
-            answers.push(json);
+            pending.retain(|of| *of != id);
+            statuses.push(json);
         }
-        Ok(answers)
+        Ok(statuses)
     }
 
-    /// Admits the control daemon on `host`, in place of the member on `replaces` if that is given.
+    /// Adds the control daemon on `host` as a member, in place of the one on `replaces` if given.
     ///
     /// # Errors
-    /// Returns why the members were not changed, or that no control host answers within `patience`.
+    /// Returns an error when the members were not changed, or no control host answers within
+    /// `timeout`.
     pub fn admit(
         &self,
         host: &HostName,
         replaces: Option<&HostName>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(), OperatorError> {
-        self.change_members(patience, |id| ToRelay::AdmitMember {
+        self.change_members(timeout, |id| ToRelay::AdmitMember {
             id,
             host: host.clone(),
             replaces: replaces.cloned(),
@@ -235,37 +236,35 @@
     /// Removes the member on `host` from the control group.
     ///
     /// # Errors
-    /// Returns why the members were not changed, or that no control host answers within `patience`.
-    pub fn remove(&self, host: &HostName, patience: Duration) -> Result<(), OperatorError> {
-        self.change_members(patience, |id| ToRelay::RemoveMember {
+    /// Returns an error when the members were not changed, or no control host answers within
+    /// `timeout`.
+    pub fn remove(&self, host: &HostName, timeout: Duration) -> Result<(), OperatorError> {
+        self.change_members(timeout, |id| ToRelay::RemoveMember {
             id,
             host: host.clone(),
         })
     }
 
-    /// Puts a change of members until it is answered for good. A change that took effect though its
-    /// answer was lost is refused when it is put again, so a change is only put once more while it
-    /// was certainly not made.
+    /// Sends a membership change and retries only while it has certainly not taken effect: a change
+    /// whose reply was lost is refused when it is sent again.
     fn change_members(
         &self,
-        patience: Duration,
-        question: impl Fn(u64) -> ToRelay,
+        timeout: Duration,
+        to_request: impl Fn(u64) -> ToRelay,
     ) -> Result<(), OperatorError> {
-        let until = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         loop {
-            let answer = self.ask_for(
-                until,
-                MEMBERS_ANSWER,
-                &question,
-                |id, answer| match answer {
-                    FromRelay::Members { id: of, outcome } if of == id => Some(outcome),
-                    _ => None,
-                },
-            )?;
-            match answer {
+            let reply =
+                self.request_within(deadline, MEMBERS_TIMEOUT, &to_request, |id, message| {
+                    match message {
+                        FromRelay::Members { id: of, outcome } if of == id => Some(outcome),
+                        _ => None,
+                    }
+                })?;
+            match reply {
                 Some(Ok(())) => return Ok(()),
-                Some(Err(MembersError::NoQuorum)) if Instant::now() < until => {
-                    self.ask_another();
+                Some(Err(MembersError::NoQuorum)) if Instant::now() < deadline => {
+                    self.select_next_host();
                 }
                 Some(Err(e)) => return Err(e.into()),
                 None => return Err(MembersError::Unknown.into()),
@@ -273,45 +272,46 @@
         }
     }
 
-    fn ask<T>(
+    fn request<T>(
         &self,
-        until: Instant,
-        question: impl FnOnce(u64) -> ToRelay,
+        deadline: Instant,
+        to_request: impl FnOnce(u64) -> ToRelay,
         pick: impl Fn(u64, FromRelay) -> Option<T>,
     ) -> Result<Option<T>, OperatorError> {
-        self.ask_for(until, ASK_AGAIN, question, pick)
+        self.request_within(deadline, REPLY_TIMEOUT, to_request, pick)
     }
 
-    /// Puts a question to one control host, none of which may be connected until `until`, and waits
-    /// for its answer. None when it does not come in time; another control host is then asked next.
-    fn ask_for<T>(
+    /// Sends a request to one control host and waits for its reply; `None` on a timeout, after
+    /// which the next request goes to another. Waits until `deadline` for a control host to
+    /// connect.
+    fn request_within<T>(
         &self,
-        until: Instant,
-        patience: Duration,
-        question: impl FnOnce(u64) -> ToRelay,
+        deadline: Instant,
+        timeout: Duration,
+        to_request: impl FnOnce(u64) -> ToRelay,
         pick: impl Fn(u64, FromRelay) -> Option<T>,
     ) -> Result<Option<T>, OperatorError> {
         let mut links = self.lock();
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         let Some((link, tx)) = links.current(left) else {
             return Err(OperatorError::NoControl);
         };
         let id = self.next_id();
-        tx.send(&Message::ToRelay(question(id)))?;
-        let answer = links.wait_for(Instant::now() + patience, Some(link), |answer| {
-            pick(id, answer)
+        tx.send(&Message::ToRelay(to_request(id)))?;
+        let reply = links.wait_reply(Instant::now() + timeout, Some(link), |message| {
+            pick(id, message)
         });
-        if answer.is_none() {
-            links.turn();
+        if reply.is_none() {
+            links.select_next();
         }
-        Ok(answer)
+        Ok(reply)
     }
 
-    /// A control host that is cut off, or came back without its disk, knows no quorum for as long as
-    /// that lasts, while the others have one.
-    fn ask_another(&self) {
-        self.lock().turn();
-        std::thread::sleep(PAUSE);
+    /// Selects another control host and waits before a retry. A control host that is partitioned or
+    /// lost its disk sees no quorum while the others may have one.
+    fn select_next_host(&self) {
+        self.lock().select_next();
+        std::thread::sleep(RETRY_DELAY);
     }
 
     fn next_id(&self) -> u64 {
@@ -323,8 +323,8 @@
     }
 }
 
-fn status_of(id: u64, answer: FromRelay) -> Option<String> {
-    match answer {
+fn status_of(id: u64, message: FromRelay) -> Option<String> {
+    match message {
         FromRelay::Status { id: of, json } if of == id => Some(json),
         _ => None,
     }
--- a/src/coltsfootnotch/ops/operator_client/links.rs
+++ b/src/coltsfootnotch/ops/operator_client/links.rs
@@ -1,4 +1,4 @@
-//! The connections of an operator's command.
+//! Connections of an operator's client.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc;
@@ -7,7 +7,7 @@
 use coltsfootnotch_fabric::{Event, LinkId, LinkTx};
 use coltsfootnotch_wire::{FromRelay, Message};
 
-/// The control hosts that are connected, and which of them is asked next.
+/// The connected control hosts, and the one that gets the next request.
 pub(super) struct Links {
     events: mpsc::Receiver<Event>,
     up: BTreeMap<LinkId, LinkTx>,
@@ -23,55 +23,55 @@
         }
     }
 
-    /// Every control host that is connected.
+    /// All connected control hosts.
     pub(super) fn all(&mut self) -> impl Iterator<Item = &LinkTx> {
-        self.take_news();
+        self.process_events();
         self.up.values()
     }
 
-    /// Waits until a control host is connected.
-    pub(super) fn wait_for_one(&mut self, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
-        self.take_news();
+    /// Waits until a control host is connected; false on a timeout.
+    pub(super) fn wait_connected(&mut self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        self.process_events();
         while self.up.is_empty() {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             match self.events.recv_timeout(left) {
-                Ok(event) => self.note(&event),
+                Ok(event) => self.on_event(&event),
                 Err(_) => return false,
             }
         }
         true
     }
 
-    /// The control host to ask.
-    pub(super) fn current(&mut self, patience: Duration) -> Option<(LinkId, LinkTx)> {
-        if !self.wait_for_one(patience) {
+    /// The control host that gets the next request.
+    pub(super) fn current(&mut self, timeout: Duration) -> Option<(LinkId, LinkTx)> {
+        if !self.wait_connected(timeout) {
             return None;
         }
-        let chosen = self.current.filter(|link| self.up.contains_key(link));
-        let link = chosen.or_else(|| self.up.keys().next().copied())?;
+        let connected = self.current.filter(|link| self.up.contains_key(link));
+        let link = connected.or_else(|| self.up.keys().next().copied())?;
         self.current = Some(link);
         self.up.get(&link).map(|tx| (link, tx.clone()))
     }
 
-    /// Another control host is asked next.
-    pub(super) fn turn(&mut self) {
-        let after = self.current.and_then(|link| {
+    /// Selects another control host for the next request.
+    pub(super) fn select_next(&mut self) {
+        let next = self.current.and_then(|link| {
             self.up
                 .range(link..)
                 .map(|(id, _)| *id)
                 .find(|id| *id != link)
         });
-        self.current = after;
+        self.current = next;
     }
 
-    fn take_news(&mut self) {
+    fn process_events(&mut self) {
         while let Ok(event) = self.events.try_recv() {
-            self.note(&event);
+            self.on_event(&event);
         }
     }
 
-    fn note(&mut self, event: &Event) {
+    fn on_event(&mut self, event: &Event) {
         match event {
             Event::Up { link, tx, .. } => {
                 self.up.insert(*link, tx.clone());
@@ -83,27 +83,27 @@
         }
     }
 
-    /// Waits for an answer, no longer than until the control host that was asked is gone.
-    pub(super) fn wait_for<T>(
+    /// Waits for a reply; `None` on a timeout or when `link` is given and its connection is lost.
+    pub(super) fn wait_reply<T>(
         &mut self,
-        until: Instant,
-        asked: Option<LinkId>,
+        deadline: Instant,
+        link: Option<LinkId>,
         pick: impl Fn(FromRelay) -> Option<T>,
     ) -> Option<T> {
         loop {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             match self.events.recv_timeout(left).ok()? {
                 Event::Message {
-                    message: Message::FromRelay(answer),
+                    message: Message::FromRelay(message),
                     ..
                 } => {
-                    if let Some(answer) = pick(answer) {
-                        return Some(answer);
+                    if let Some(reply) = pick(message) {
+                        return Some(reply);
                     }
                 }
-                event => self.note(&event),
+                event => self.on_event(&event),
             }
-            if asked.is_some_and(|link| !self.up.contains_key(&link)) {
+            if link.is_some_and(|link| !self.up.contains_key(&link)) {
                 return None;
             }
         }
--- a/src/coltsfootnotch/ops/serve.rs
+++ b/src/coltsfootnotch/ops/serve.rs
@@ -1,4 +1,4 @@
-//! `coltsfootnotchd`: one daemon from its settings file to its end.
+//! `coltsfootnotchd`: starts a daemon from its settings file and waits until it stops.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -19,7 +19,7 @@
 use crate::daemon::sidecar::{self, SidecarConfig, SidecarHandle};
 use crate::daemon::{ControlAddress, StartError, admin};
 
-/// Why a daemon can't run.
+/// Why a daemon can't start or had to stop.
 #[derive(Debug, Display, Error, From)]
 pub enum ServeError {
     /// A file can't be read.
@@ -35,19 +35,19 @@
     #[display("the settings are not valid")]
     Settings(Findings),
     /// The settings lack an address that the role needs.
-    #[display("the settings name no {what} address")]
+    #[display("the settings have no {what} address")]
     #[from(skip)]
     NoAddress {
-        /// Which.
+        /// Name of the address in the settings.
         what: &'static str,
     },
     /// The credentials can't be used.
     #[display("the credentials can't be used")]
     Credentials(CredentialsError),
-    /// The control role can't start, or had to stop.
-    #[display("the control host can't go on")]
+    /// The control daemon can't start, or had to stop.
+    #[display("the control daemon failed")]
     Control(ControlError),
-    /// Another role can't start.
+    /// An entry or sidecar daemon can't start.
     #[display("the daemon can't start")]
     Start(StartError),
     /// The admin address can't be bound.
@@ -64,12 +64,12 @@
     #[from(skip)]
     NoDaemon,
     /// A thread of the daemon panicked.
-    #[display("the daemon panicked; its log has the place")]
+    #[display("the daemon panicked; its log shows where")]
     #[from(skip)]
     Panicked,
 }
 
-/// Reads the settings of a daemon.
+/// Reads and parses the settings of a daemon.
 ///
 /// # Errors
 /// Returns an error when the file can't be read or has findings.
@@ -85,11 +85,11 @@
 
 /// A daemon of any role.
 pub enum Daemon {
-    /// A control host.
+    /// A control daemon.
     Control(ControlHandle),
-    /// An entry.
+    /// An entry daemon.
     Entry(EntryHandle),
-    /// A sidecar.
+    /// A sidecar daemon.
     Sidecar(SidecarHandle),
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A closure that starts a graceful shutdown.
+    /// Returns a closure that starts a graceful shutdown.
     pub fn stopper(&self) -> Box<dyn Fn() + Send> {
         match self {
             Self::Control(handle) => Box::new(handle.stopper()),
@@ -127,10 +127,10 @@
         }
     }
 
-    /// Waits until the daemon has ended.
+    /// Waits until the daemon has stopped.
     ///
     /// # Errors
-    /// Returns the error for which it had to stop.
+    /// Returns the error that made it stop.
     pub fn join(self) -> Result<(), ServeError> {
         match self {
             Self::Control(handle) => handle.join()?,
--- a/src/coltsfootnotch/ops/status.rs
+++ b/src/coltsfootnotch/ops/status.rs
@@ -1,4 +1,4 @@
-//! `coltsfootnotch status`: the fleet as its control hosts know it.
+//! `coltsfootnotch status`: prints the state of the fleet.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -11,19 +11,19 @@
 use super::fleet_status::{FleetStatus, MemberStatus, most_recent};
 use super::operator_client::{OperatorClient, OperatorError};
 
-/// Time for the other control hosts to connect once the first has.
-const GATHER: Duration = Duration::from_millis(300);
+/// Time for the other control hosts to connect after the first.
+const CONNECT_GRACE: Duration = Duration::from_millis(300);
 
-/// What is shown, and how.
+/// Options of `status`.
 #[derive(Debug, Clone)]
 pub struct StatusOptions {
-    /// How the control group is reached.
+    /// How to connect to the control group.
     pub access: Access,
-    /// Whether a program reads the output.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
-/// What a program reads: each control host's own word on the group, and one view of the rest.
+/// The group as each control host sees it, and the most recent status of the fleet.
 #[derive(Serialize)]
 struct Report<'a> {
     members: Vec<&'a MemberStatus>,
@@ -35,11 +35,11 @@
 /// # Errors
 /// Returns an error when no control host answers.
 pub fn status(opts: &StatusOptions, out: &mut impl Write) -> Result<(), OpsError> {
-    let connected = opts.access.connect()?;
-    std::thread::sleep(GATHER.min(opts.access.timeout));
-    let answers = gather(&connected.client, opts.access.timeout)?;
-    let fleet = most_recent(&answers).ok_or(OperatorError::NoControl)?;
-    let members = answers.iter().map(|answer| &answer.group).collect();
+    let connection = opts.access.connect()?;
+    std::thread::sleep(CONNECT_GRACE.min(opts.access.timeout));
+    let statuses = query_status(&connection.client, opts.access.timeout)?;
+    let fleet = most_recent(&statuses).ok_or(OperatorError::NoControl)?;
+    let members = statuses.iter().map(|status| &status.group).collect();
     let report = Report { members, fleet };
     if opts.json {
         writeln!(out, "{}", serde_json::to_string(&report)?)?;
@@ -49,13 +49,13 @@
     Ok(())
 }
 
-fn gather(client: &OperatorClient, patience: Duration) -> Result<Vec<FleetStatus>, OpsError> {
-    let until = Instant::now() + patience;
+fn query_status(client: &OperatorClient, timeout: Duration) -> Result<Vec<FleetStatus>, OpsError> {
+    let deadline = Instant::now() + timeout;
     loop {
-        let answers = client.status_of_each()?;
-        if !answers.is_empty() || Instant::now() >= until {
-            let parsed = answers.iter().map(|json| serde_json::from_str(json));
-            return Ok(parsed.collect::<Result<_, _>>()?);
+        let replies = client.status_of_each()?;
+        if !replies.is_empty() || Instant::now() >= deadline {
+            let statuses = replies.iter().map(|json| serde_json::from_str(json));
+            return Ok(statuses.collect::<Result<_, _>>()?);
         }
     }
 }
@@ -82,17 +82,13 @@
             m.term, m.commit, m.applied
         )?;
     }
-    let known = &report.fleet.group;
-    let silent = |host: &&_| !report.members.iter().any(|m| m.host == **host);
-    for host in known.voters.iter().filter(silent) {
+    let group = &report.fleet.group;
+    let unanswered = |host: &&_| !report.members.iter().any(|m| m.host == **host);
+    for host in group.voters.iter().filter(unanswered) {
         writeln!(out, "{:<24} no answer", host.as_str())?;
     }
-    for host in &known.learners {
-        writeln!(
-            out,
-            "{:<24} catches up and does not count yet",
-            host.as_str()
-        )?;
+    for host in &group.learners {
+        writeln!(out, "{:<24} catching up, not voting yet", host.as_str())?;
     }
     Ok(())
 }
@@ -100,7 +96,7 @@
 fn print_configuration(fleet: &FleetStatus, out: &mut impl Write) -> io::Result<()> {
     match &fleet.configuration {
         Some(c) => writeln!(out, "\nconfiguration {}, digest {}", c.number, c.digest),
-        None => writeln!(out, "\nno configuration was accepted yet"),
+        None => writeln!(out, "\nno configuration is accepted yet"),
     }
 }
 
--- a/src/coltsfootnotch/ops/trace/cause.rs
+++ b/src/coltsfootnotch/ops/trace/cause.rs
@@ -1,12 +1,12 @@
-//! What the lines around a request say of its end.
+//! Derives the cause of a request's outcome from the log lines around it.
 
 use super::line::Line;
 
-/// The cause in a sentence, from the last line that tells how the request ended.
+/// Describes the cause in a sentence, from the last line about the request.
 pub(super) fn cause(id: &str, lines: &[&Line]) -> String {
-    let own: Vec<_> = lines.iter().filter(|line| line.is_about(id)).collect();
-    let Some(last) = own.last() else {
-        return "no line tells".to_owned();
+    let request_lines: Vec<_> = lines.iter().filter(|line| line.is_about(id)).collect();
+    let Some(last) = request_lines.last() else {
+        return "unknown: no line names the request".to_owned();
     };
     let field = |name: &str| last.field(name).unwrap_or("?");
     match last.code() {
@@ -14,7 +14,7 @@
             let reason = field("reason");
             format!(
                 "refused before it was sent to any upstream: {reason}{}",
-                state_of(last, lines)
+                host_state(last, lines)
             )
         }
         "CFN-0074" => format!(
@@ -22,50 +22,50 @@
             field("upstream"),
             field("ended"),
             field("not_resumed"),
-            upstream_of(last, lines),
+            upstream_state(last, lines),
         ),
         "CFN-0073" => format!(
-            "upstream {} went on with the stream; nothing failed since",
+            "the stream was resumed at upstream {}; no failure since",
             field("upstream")
         ),
         "CFN-0072" => format!(
-            "upstream {} gave no whole answer ({}) and no other was tried{}",
+            "upstream {} gave no complete response ({}) and no other was tried{}",
             field("upstream"),
             field("outcome"),
-            upstream_of(last, lines),
+            upstream_state(last, lines),
         ),
-        "CFN-0070" => format!("it was answered by upstream {}", field("upstream")),
-        code => format!("the last line is {code}"),
+        "CFN-0070" => format!("answered by upstream {}", field("upstream")),
+        code => format!("unknown: the last line is {code}"),
     }
 }
 
-/// What the host believed that may explain a refusal.
-fn state_of(last: &Line, lines: &[&Line]) -> String {
+/// The last state that the host logged before a refusal, which may explain it.
+fn host_state(last: &Line, lines: &[&Line]) -> String {
     let earlier = lines
         .iter()
         .rev()
         .filter(|l| l.host == last.host && l.at <= last.at);
     let states = ["CFN-0003", "CFN-0075", "CFN-0001"];
-    let told = earlier
+    let state = earlier
         .filter(|l| l.is_state())
         .find(|l| states.contains(&l.code()));
-    told.map_or_else(String::new, |l| {
+    state.map_or_else(String::new, |l| {
         format!(
-            "; its host said before: {}",
+            "; its host logged before: {}",
             l.field("event").unwrap_or_default()
         )
     })
 }
 
-/// What others said of the upstream.
-fn upstream_of(last: &Line, lines: &[&Line]) -> String {
-    let named = last.field("upstream");
-    let of_upstream = lines.iter().find(|l| {
-        let says = ["CFN-0021", "CFN-0022"].contains(&l.code());
-        says && l.field("upstream") == named
+/// What a control host logged about the upstream's end.
+fn upstream_state(last: &Line, lines: &[&Line]) -> String {
+    let upstream = last.field("upstream");
+    let event_line = lines.iter().find(|l| {
+        let is_end = ["CFN-0021", "CFN-0022"].contains(&l.code());
+        is_end && l.field("upstream") == upstream
     });
-    of_upstream.map_or_else(String::new, |l| {
+    event_line.map_or_else(String::new, |l| {
         let event = l.field("event").unwrap_or_default();
-        format!("; {} said of it: {event}", l.host)
+        format!("; {} logged: {event}", l.host)
     })
 }
--- a/src/coltsfootnotch/ops/trace/line.rs
+++ b/src/coltsfootnotch/ops/trace/line.rs
@@ -1,20 +1,20 @@
-//! One line of a log.
+//! Parses a log line.
 
 use std::fmt;
 
 use serde_json::{Map, Value};
 
-/// Events by which a host says what it believes of itself and of whom it depends on.
+/// Events about the state of a host and of its connections and configuration.
 const STATE_CODES: [&str; 10] = [
     "CFN-0001", "CFN-0002", "CFN-0003", "CFN-0004", "CFN-0006", "CFN-0011", "CFN-0075", "CFN-0076",
     "CFN-0077", "CFN-0078",
 ];
 
-/// An event of a log, read from a line of JSON; what stands before the first brace is passed over, such
-/// as the name of a host that a log collector adds.
+/// A log event, parsed from a line of JSON. Text before the first brace, such as a host name that a
+/// log collector adds, is ignored.
 #[derive(Debug, Clone)]
 pub(super) struct Line {
-    /// Seconds of the day's calendar, for comparing only.
+    /// Seconds since the start of the month, for comparison only.
     pub(super) at: f64,
     pub(super) host: String,
     fields: Map<String, Value>,
@@ -25,11 +25,11 @@
         let json = &text[text.find('{')?..];
         let fields: Map<String, Value> = serde_json::from_str(json).ok()?;
         let host = fields.get("host")?.as_str()?.to_owned();
-        let at = seconds(fields.get("time")?.as_str()?)?;
+        let at = seconds_of_month(fields.get("time")?.as_str()?)?;
         Some(Self { at, host, fields })
     }
 
-    /// A field's text.
+    /// The value of a text field.
     pub(super) fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
@@ -41,7 +41,7 @@
     pub(super) fn is_about(&self, id: &str) -> bool {
         match self.fields.get("request") {
             Some(Value::String(text)) => text == id,
-            // An identity of digits alone is written as a number.
+            // A request ID of digits alone is logged as a number.
             Some(Value::Number(number)) => number.to_string() == id,
             _ => false,
         }
@@ -57,11 +57,11 @@
         let time = self.field("time").unwrap_or_default();
         let event = self.field("event").unwrap_or_default();
         write!(f, "{time} {} {} {event}", self.host, self.code())?;
-        let shown = ["time", "host", "code", "event", "level", "role"];
+        let printed = ["time", "host", "code", "event", "level", "role"];
         for (name, value) in self
             .fields
             .iter()
-            .filter(|(n, _)| !shown.contains(&n.as_str()))
+            .filter(|(n, _)| !printed.contains(&n.as_str()))
         {
             match value {
                 Value::String(text) => write!(f, " {name}={text}")?,
@@ -72,9 +72,9 @@
     }
 }
 
-/// Seconds since midnight of the first of the month, of a time such as
-/// `2026-03-07T00:56:45.505+00:00`. A log covers hours; the month's end is worth no calendar library.
-fn seconds(time: &str) -> Option<f64> {
+/// Seconds since the start of the month, of a time such as `2026-03-07T00:56:45.505+00:00`. Logs
+/// that span the end of a month are not ordered correctly.
+fn seconds_of_month(time: &str) -> Option<f64> {
     let (date, rest) = time.split_once('T')?;
     let day: f64 = date.rsplit('-').next()?.parse().ok()?;
     let clock = rest.split(['+', 'Z']).next()?;
