--- a/src/bin/coltsfootnotch/cli.rs
+++ b/src/bin/coltsfootnotch/cli.rs
@@ -1,4 +1,4 @@
-//! The commands, their errors and their exit codes.
+//! Command line: options, error reports and exit codes.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -9,13 +9,13 @@
 
 use crate::commands::{self, Command};
 
-/// The command did what it was asked.
+/// The command succeeded.
 pub(crate) const EXIT_OK: u8 = 0;
-/// It failed, or `check` has findings. 2 is left to the daemon.
+/// The command failed, or `check` has findings. Exit code 2 is used by the daemon only.
 pub(crate) const EXIT_FAILED: u8 = 1;
-/// The control group refused it: a conflict, a stale number, or a change of members.
+/// The control group refused the command: a conflict, a stale number, or a membership change.
 pub(crate) const EXIT_REFUSED: u8 = 3;
-/// Nobody answered, or the configuration is not in force everywhere in time.
+/// There was no answer, or the configuration was not in force everywhere in time.
 pub(crate) const EXIT_UNANSWERED: u8 = 4;
 
 fn options() -> OptionParser<Command> {
@@ -41,7 +41,7 @@
     )
 }
 
-/// Runs the command line.
+/// Parses the command line and runs the command.
 pub(crate) fn main() -> ExitCode {
     let outcome = commands::exec(options().run());
     match outcome {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Prints an error with the chain of its causes, and what to do about it.
+/// Prints an error, the chain of its causes and a suggestion.
 fn report(error: &(dyn Error + 'static)) {
     print_causes(error);
     if let Some(help) = error.downcast_ref().and_then(OpsError::help) {
--- a/src/bin/coltsfootnotch/commands/access.rs
+++ b/src/bin/coltsfootnotch/commands/access.rs
@@ -1,4 +1,4 @@
-//! The arguments by which a command reaches the control group.
+//! Arguments for connecting to the control group.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,32 +6,32 @@
 use bpaf::{Parser, construct, long};
 use coltsfootnotch::ops::access::{Access, ControlArg};
 
-/// Longer than an election and a redial, short enough for a pipeline to fail on.
-const PATIENCE_S: u64 = 20;
+/// Default timeout in seconds: longer than an election and a reconnection.
+const DEFAULT_TIMEOUT_S: u64 = 20;
 
 /// Parses `--settings`, `--control`, `--keys`, `--without-keys` and `--timeout`.
 pub(crate) fn access() -> impl Parser<Access> {
     let settings = long("settings")
-        .help("settings of any host of the fleet: its control hosts, and the folder of its keys")
+        .help("settings of any host of the fleet, with the control hosts and the keys")
         .argument::<PathBuf>("FILE")
         .complete_shell(bpaf::ShellComp::File { mask: None })
         .optional();
     let control = long("control")
-        .help("a control host; may be given several times, and goes before --settings")
+        .help("a control host; may be given several times, overrides --settings")
         .argument::<ControlArg>("HOST=IP:PORT")
         .many();
     let keys = long("keys")
-        .help("folder with ca.pem, operator.pem and operator.key; goes before --settings")
+        .help("folder with ca.pem, operator.pem and operator.key; overrides --settings")
         .argument::<PathBuf>("DIR")
         .complete_shell(bpaf::ShellComp::Dir { mask: None })
         .optional();
     let without_keys = long("without-keys")
-        .help("the fleet has no keys of its own and takes any, as on the users' platform")
+        .help("the fleet has no authority and accepts any key, as on the users' platform")
         .switch();
     let timeout = long("timeout")
-        .help("how long to wait for the fleet, in seconds")
+        .help("maximum time to wait for the fleet, in seconds")
         .argument::<u64>("S")
-        .fallback(PATIENCE_S)
+        .fallback(DEFAULT_TIMEOUT_S)
         .display_fallback()
         .map(Duration::from_secs);
     construct!(Access {
@@ -45,5 +45,5 @@
 
 /// Parses `--json`.
 pub(crate) fn json() -> impl Parser<bool> {
-    long("json").help("prints JSON for a program").switch()
+    long("json").help("print JSON").switch()
 }
--- a/src/bin/coltsfootnotch/commands/apply.rs
+++ b/src/bin/coltsfootnotch/commands/apply.rs
@@ -11,7 +11,7 @@
 
 pub(crate) fn cli() -> impl Parser<Command> {
     let wait = long("wait")
-        .help("waits until every live host has it in force")
+        .help("wait until every live host has it in force")
         .switch();
     let json = json();
     let access = access();
--- a/src/bin/coltsfootnotch/commands/check.rs
+++ b/src/bin/coltsfootnotch/commands/check.rs
@@ -12,7 +12,7 @@
 
 pub(crate) fn cli() -> impl Parser<Command> {
     let kind = long("kind")
-        .help("what the files are, settings or manifest; recognised by their keys without it")
+        .help("kind of the files, settings or manifest; detected from their keys by default")
         .argument::<TextKind>("KIND")
         .optional();
     let json = json();
@@ -23,7 +23,7 @@
     construct!(CheckOptions { kind, json, files })
         .map(Command::Check)
         .to_options()
-        .descr("reports everything that is wrong with settings and manifests")
+        .descr("reports all findings of settings and manifests")
         .command("check")
 }
 
--- a/src/bin/coltsfootnotch/commands/demo.rs
+++ b/src/bin/coltsfootnotch/commands/demo.rs
@@ -15,10 +15,10 @@
 
 pub(crate) fn cli() -> impl Parser<Command> {
     let once = long("once")
-        .help("end after the requests have been shown")
+        .help("exit after the results have been printed")
         .switch();
     let seed = long("seed")
-        .help("seed of what is drawn at random")
+        .help("seed of the random numbers")
         .argument("N")
         .fallback(1);
     construct!(Args { once, seed })
@@ -42,7 +42,7 @@
         .enable_all()
         .build();
     if let Ok(runtime) = runtime {
-        // Without a handler for the signal it ends the process, which is as good.
+        // If the handler can't be installed, the signal terminates the process.
         let _interrupted = runtime.block_on(tokio::signal::ctrl_c());
     }
 }
--- a/src/bin/coltsfootnotch/commands/explain.rs
+++ b/src/bin/coltsfootnotch/commands/explain.rs
@@ -15,19 +15,22 @@
 
 pub(crate) fn cli() -> impl Parser<Command> {
     let code = positional::<String>("CODE")
-        .help("number of the event, such as CFN-0020")
-        .complete(|start: &String| completions(start));
+        .help("code of the event, such as CFN-0020")
+        .complete(|prefix: &String| completions(prefix));
     construct!(Args { code })
         .map(Command::Explain)
         .to_options()
-        .descr("says what an event of the log means and what to do about it")
+        .descr("describes a log event and what to do about it")
         .command("explain")
 }
 
-fn completions(start: &str) -> Vec<(String, Option<String>)> {
+fn completions(prefix: &str) -> Vec<(String, Option<String>)> {
     let events = CATALOGUE.iter().copied();
-    let named = events.map(|event: &'static EventDef| (event.code(), Some(event.text.to_owned())));
-    named.filter(|(code, _)| code.starts_with(start)).collect()
+    let entries =
+        events.map(|event: &'static EventDef| (event.code(), Some(event.text.to_owned())));
+    entries
+        .filter(|(code, _)| code.starts_with(prefix))
+        .collect()
 }
 
 pub(crate) fn exec(args: &Args) -> Result<(), Box<dyn Error>> {
--- a/src/bin/coltsfootnotch/commands/keys.rs
+++ b/src/bin/coltsfootnotch/commands/keys.rs
@@ -30,11 +30,11 @@
 pub(crate) fn cli() -> impl Parser<Command> {
     let init = init_args();
     let issue = issue_args();
-    let of = for_args();
-    construct!([init, issue, of])
+    let for_settings = for_args();
+    construct!([init, issue, for_settings])
         .map(Command::Keys)
         .to_options()
-        .descr("makes the certificates that the fleet's processes know each other by")
+        .descr("issues the certificates by which the fleet's processes authenticate each other")
         .command("keys")
 }
 
@@ -43,7 +43,7 @@
     let folder = folder();
     construct!(Args::Init { force, folder })
         .to_options()
-        .descr("makes the fleet's authority and an operator's key")
+        .descr("generates the fleet's authority and an operator's key")
         .command("init")
 }
 
@@ -65,7 +65,7 @@
         folder
     })
     .to_options()
-    .descr("issues one key with the authority in a folder")
+    .descr("issues a key, signed by the authority in a folder")
     .command("issue")
 }
 
@@ -77,12 +77,12 @@
         .some("name at least one settings file or folder");
     construct!(Args::For { force, paths })
         .to_options()
-        .descr("issues the keys that settings files name, and the authority where there is none")
+        .descr("issues the keys that settings files name, generating the authority if needed")
         .command("for")
 }
 
 fn force() -> impl Parser<bool> {
-    long("force").help("writes over keys that stand").switch()
+    long("force").help("overwrite existing keys").switch()
 }
 
 fn folder() -> impl Parser<PathBuf> {
--- a/src/bin/coltsfootnotch/commands/load.rs
+++ b/src/bin/coltsfootnotch/commands/load.rs
@@ -11,10 +11,10 @@
 
 use super::Command;
 
-/// Hosts of an embedded fleet: 3 control, 2 entries, 1 order service and 6 engines.
-const HOSTS: usize = 12;
-/// Slots of an embedded engine, or of a whole fleet elsewhere.
-const SLOTS: u32 = 8;
+/// Default number of hosts of an embedded fleet: 3 control, 2 entries, 1 order service, 6 engines.
+const DEFAULT_HOSTS: usize = 12;
+/// Default number of slots of each embedded engine, or of all engines of a remote fleet.
+const DEFAULT_SLOTS: u32 = 8;
 
 #[derive(Debug, Clone)]
 pub(crate) struct Args {
@@ -29,27 +29,27 @@
 
 fn slots() -> impl Parser<u32> {
     long("slots")
-        .help("slots of each embedded engine, or of all engines of a fleet elsewhere")
+        .help("slots of each embedded engine, or of all engines of a remote fleet")
         .argument("N")
-        .fallback(SLOTS)
+        .fallback(DEFAULT_SLOTS)
 }
 
 fn embedded() -> impl Parser<FleetChoice> {
     let embedded = long("embedded")
-        .help("drive a fleet in this process, with stand-in upstreams")
+        .help("run a fleet in this process, with fake upstreams")
         .req_flag(());
     let hosts = long("hosts")
-        .help("hosts of the embedded fleet")
+        .help("number of hosts of the embedded fleet")
         .argument("N")
-        .fallback(HOSTS);
+        .fallback(DEFAULT_HOSTS);
     let slots = slots();
     let policy = long("policy")
-        .help("how the embedded fleet chooses: fair, fifo or per-host")
+        .help("scheduling policy of the embedded fleet: fair, fifo or per-host")
         .argument("POLICY")
         .fallback(Policy::Fair);
     let manifest = manifest().optional();
     let settle = long("settle")
-        .help("seconds that the embedded fleet runs without callers first")
+        .help("seconds that the embedded fleet runs before the load starts")
         .argument("N")
         .fallback(0);
     construct!(embedded, hosts, slots, policy, manifest, settle).map(
@@ -66,7 +66,7 @@
 
 fn manifest() -> impl Parser<PathBuf> {
     long("manifest")
-        .help("manifest that names accounts, weights and replicas")
+        .help("manifest with the accounts, weights and replicas")
         .argument("FILE")
 }
 
@@ -77,7 +77,7 @@
         .some("give --embedded, or --entry at least once");
     let manifest = manifest();
     let key_prefix = long("key-prefix")
-        .help("what precedes the account's name in its bearer key")
+        .help("prefix of the account's name in its bearer key")
         .argument("TEXT")
         .fallback(String::new());
     let slots = slots();
@@ -105,19 +105,19 @@
         .argument("NAME")
         .fallback(Scenario::Saturation);
     let seconds = long("seconds")
-        .help("how long callers ask")
+        .help("duration of the load")
         .argument("N")
         .fallback(10);
     let seed = long("seed")
-        .help("seed of the callers' choices")
+        .help("seed of the random numbers")
         .argument("N")
         .fallback(1);
     let hop = long("hop")
-        .help("measure what the hop costs, beside the engines called directly")
+        .help("measure the overhead of the hop, compared with direct calls to the engines")
         .switch();
     let json = long("json").help("print one JSON object").switch();
     let report = long("report")
-        .help("write a page with plots")
+        .help("write a report with plots")
         .argument("FILE")
         .optional();
     construct!(Args {
@@ -131,7 +131,7 @@
     })
     .map(Command::Load)
     .to_options()
-    .descr("drives callers at a fleet, checks every answer and measures")
+    .descr("generates load on a fleet, verifies every response and measures")
     .command("load")
 }
 
--- a/src/bin/coltsfootnotch/commands/member.rs
+++ b/src/bin/coltsfootnotch/commands/member.rs
@@ -29,14 +29,14 @@
 
 fn add() -> impl Parser<Args> {
     let access = access();
-    let host = host("the newcomer; its daemon runs with an empty data folder");
+    let host = host("the new member; its daemon runs with an empty data folder");
     construct!(access, host)
         .map(|(access, host)| Args {
             access,
             change: MemberChange::Add { host },
         })
         .to_options()
-        .descr("admits a control host")
+        .descr("adds a control host")
         .command("add")
 }
 
@@ -56,11 +56,11 @@
 fn replace() -> impl Parser<Args> {
     let access = access();
     let with = long("with")
-        .help("the newcomer; without it the host itself comes back with an empty data folder")
+        .help("the new member; by default the host itself, with an empty data folder")
         .argument::<String>("HOST")
         .parse(HostName::new)
         .optional();
-    let host = host("the host whose member is removed once the newcomer has caught up");
+    let host = host("the host whose member is removed once the new member has caught up");
     construct!(access, with, host)
         .map(|(access, with, host)| {
             let with = with.unwrap_or_else(|| host.clone());
@@ -70,7 +70,7 @@
             }
         })
         .to_options()
-        .descr("puts a control host in the place of another, or of its own lost disk")
+        .descr("replaces a control host by another, or by itself after its disk was lost")
         .command("replace")
 }
 
--- a/src/bin/coltsfootnotch/commands/mod.rs
+++ b/src/bin/coltsfootnotch/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: each reads its arguments and calls one function of `ops`.
+//! The commands: each parses its arguments and calls a function of `ops`.
 
 mod access;
 
--- a/src/bin/coltsfootnotch/commands/status.rs
+++ b/src/bin/coltsfootnotch/commands/status.rs
@@ -14,7 +14,9 @@
     construct!(StatusOptions { json, access })
         .map(Command::Status)
         .to_options()
-        .descr("shows control hosts, hosts, upstreams, client accounts and configurations in force")
+        .descr(
+            "prints control hosts, hosts, upstreams, client accounts and configurations in force",
+        )
         .command("status")
 }
 
--- a/src/bin/coltsfootnotch/commands/trace.rs
+++ b/src/bin/coltsfootnotch/commands/trace.rs
@@ -15,16 +15,14 @@
 }
 
 pub(crate) fn cli() -> impl Parser<Command> {
-    let id = positional::<String>("ID").help("identity of the request, as its caller sent it");
+    let id = positional::<String>("ID").help("ID of the request, as its caller sent it");
     let files = positional::<PathBuf>("FILE")
         .help("logs of any number of hosts")
-        .some("name the logs to look into");
+        .some("name at least one log");
     construct!(Args { id, files })
         .map(Command::Trace)
         .to_options()
-        .descr(
-            "finds what happened to a request in the logs of forwarding entries and control hosts",
-        )
+        .descr("finds the cause of a request's outcome in the logs of entries and control hosts")
         .command("trace")
 }
 
--- a/src/bin/coltsfootnotch/main.rs
+++ b/src/bin/coltsfootnotch/main.rs
@@ -1,4 +1,4 @@
-//! `coltsfootnotch`: the operators' command line.
+//! `coltsfootnotch`: command line for operators.
 
 mod cli;
 mod commands;
--- a/src/bin/coltsfootnotchd/cli.rs
+++ b/src/bin/coltsfootnotchd/cli.rs
@@ -1,4 +1,4 @@
-//! The daemon's arguments, its log, and its signals.
+//! Arguments, logging and signal handling of the daemon.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -11,13 +11,13 @@
 use flexi_logger::{FileSpec, Logger, LoggerHandle};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The daemon was stopped and its work was done.
+/// The daemon stopped gracefully.
 const EXIT_OK: u8 = 0;
-/// It could not start, or had to stop.
+/// The daemon could not start, or stopped because of an error.
 const EXIT_FAILED: u8 = 1;
-/// It was told twice to stop, and ended with work in progress.
+/// A second signal stopped the daemon with work in progress.
 const EXIT_FORCED: u8 = 2;
-/// Threads that a request in progress may block, and the rest of the runtime.
+/// Maximum number of blocking threads; a request in progress may use one.
 const BLOCKING_THREADS: usize = 4096;
 
 #[derive(Debug, Clone)]
@@ -27,13 +27,13 @@
 
 fn options() -> OptionParser<Args> {
     let settings = long("settings")
-        .help("the settings of this host")
+        .help("settings of this host")
         .argument::<PathBuf>("FILE");
     construct!(Args { settings })
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
         .descr("runs one host of a coltsfootnotch fleet")
-        .footer("exit codes: 0 stopped, 1 failed, 2 ended by a second signal")
+        .footer("exit codes: 0 stopped, 1 failed, 2 stopped by a second signal")
 }
 
 /// Runs the daemon until it is stopped.
@@ -57,29 +57,29 @@
     let mut signals = runtime.block_on(async { Signals::new() })?;
     let daemon = Daemon::start(&settings, runtime.handle(), &mut rand::rng())?;
     let stopper = daemon.stopper();
-    let ended = std::thread::spawn(move || daemon.join());
+    let daemon_thread = std::thread::spawn(move || daemon.join());
     let code = runtime.block_on(async {
         tokio::select! {
             () = signals.next() => stopper(),
-            () = until_ended(&ended) => return EXIT_OK,
+            () = wait_finished(&daemon_thread) => return EXIT_OK,
         }
         tokio::select! {
             () = signals.next() => EXIT_FORCED,
-            () = until_ended(&ended) => EXIT_OK,
+            () = wait_finished(&daemon_thread) => EXIT_OK,
         }
     });
     runtime.shutdown_background();
     if code == EXIT_FORCED {
         return Ok(code);
     }
-    match ended.join() {
+    match daemon_thread.join() {
         Ok(outcome) => outcome.map_err(Box::<dyn Error>::from)?,
         Err(_) => return Err(ServeError::Panicked.into()),
     }
     Ok(code)
 }
 
-async fn until_ended<T>(thread: &std::thread::JoinHandle<T>) {
+async fn wait_finished<T>(thread: &std::thread::JoinHandle<T>) {
     while !thread.is_finished() {
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
@@ -107,9 +107,9 @@
 }
 
 fn start_log(log: &Log) -> Result<LoggerHandle, Box<dyn Error>> {
-    // The libraries' own lines would bury the numbered events.
+    // Libraries log at level warn, so that their lines do not hide the numbered events.
     let spec = format!("warn, coltsfootnotch={}", log.level);
-    let logger = Logger::try_with_str(spec)?.format(line);
+    let logger = Logger::try_with_str(spec)?.format(format_line);
     let logger = match &log.file {
         Some(file) => logger.log_to_file(FileSpec::try_from(file)?).append(),
         None => logger.log_to_stderr(),
@@ -117,7 +117,7 @@
     Ok(logger.start()?)
 }
 
-fn line(
+fn format_line(
     w: &mut dyn std::io::Write,
     now: &mut flexi_logger::DeferredNow,
     record: &log::Record<'_>,
@@ -133,7 +133,5 @@
 
 fn report(error: &dyn Error) {
     print_causes(error);
-    eprintln!(
-        "help: `coltsfootnotch check FILE` reports everything that is wrong with a settings file"
-    );
+    eprintln!("help: `coltsfootnotch check FILE` reports all findings of a settings file");
 }
--- a/src/bin/coltsfootnotchd/main.rs
+++ b/src/bin/coltsfootnotchd/main.rs
@@ -1,4 +1,4 @@
-//! `coltsfootnotchd`: the daemon; its settings give its role.
+//! `coltsfootnotchd`: the daemon, whose role is given by its settings.
 
 mod cli;
 
