--- a/examples/slopes/backlog.rs
+++ b/examples/slopes/backlog.rs
@@ -58,7 +58,7 @@
 }
 
 fn send_requests(fleet: &Fleet, accounts: usize) -> Result<Vec<TcpStream>, FleetError> {
-    let entries = fleet.callers();
+    let entries = fleet.http_addresses();
     let send = |number: usize| {
         let entry = entries[number % entries.len()];
         open_stream(entry, &account_name(number % accounts), number, TOKENS)
--- a/src/coltsfootnotch/daemon/sidecar/announcement_handlers.rs
+++ b/src/coltsfootnotch/daemon/sidecar/announcement_handlers.rs
@@ -82,7 +82,7 @@
         let propose = |command| relay.propose(command);
         for (upstream, call) in self.orders.tick(now, config.as_deref(), propose) {
             self.cx.log(
-                &events::ORDER_GIVEN,
+                &events::ORDER_SENT,
                 &[
                     ("upstream", &upstream),
                     ("order", &call.order),
@@ -114,7 +114,7 @@
                 .for_each(|slots| slots.on_version_change(now));
         }
         let event = match outcome {
-            OrderOutcome::Done => &events::ORDER_DONE,
+            OrderOutcome::Done => &events::ORDER_COMPLETED,
             OrderOutcome::StaleNumber => &events::ORDER_REFUSED,
             OrderOutcome::Status(_) | OrderOutcome::NoResponse => &events::ORDER_FAILED,
         };
--- a/tests/testsuite/processes/control_loss.rs
+++ b/tests/testsuite/processes/control_loss.rs
@@ -161,7 +161,7 @@
     }
     wait_until("every host has the last configuration", || {
         let answers = fleet.status();
-        let in_force = coltsfootnotch::ops::fleet_status::in_force(&answers);
+        let in_force = coltsfootnotch::ops::fleet_status::config_by_host(&answers);
         in_force.len() == fleet.daemons().count() && in_force.values().all(|number| *number == last)
     });
     let hosts = fleet.entries.iter().chain(&fleet.sidecars);
