--- a/crates/types/src/incarnation.rs
+++ b/crates/types/src/incarnation.rs
@@ -1,12 +1,12 @@
-//! The number that tells a restarted process from the one before it.
+//! Identification of the runs of a process.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// One run of one process.
+/// Random identifier of a run of a process, drawn at its start.
 ///
-/// Drawn at random when the process starts. Without it a message addressed to the earlier run of a
-/// host would be taken by the later one, and counters that restart at zero would look like a loss.
+/// Distinguishes a restarted process from its predecessor: it ignores messages to the earlier run,
+/// and its counters, which restart at zero, are not compared with the earlier ones.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,6 @@
-//! Domain names and units shared by every package of the fleet.
+//! Names and units that all packages of the fleet share.
 //!
-//! Names are reference-counted strings: a name is read once from a settings file, a manifest or a
-//! wire message and then cloned cheaply into queues, counters and log lines.
+//! Names are reference-counted strings: cheap to clone into queues, counters and log records.
 
 mod incarnation;
 mod name;
@@ -15,7 +14,7 @@
 pub use role::Role;
 pub use service::{ServiceUnits, Weight, WeightError};
 
-/// The types that nearly every module of the fleet needs.
+/// Commonly used types.
 pub mod prelude {
     pub use crate::{
         AccountName, DomainName, HostName, Incarnation, PoolName, Role, ServiceUnits, UpstreamName,
--- a/crates/types/src/name.rs
+++ b/crates/types/src/name.rs
@@ -1,4 +1,4 @@
-//! Checked names of accounts, hosts, failure domains, pools and upstreams.
+//! Validated names of accounts, hosts, failure domains, regions, pools, upstreams and leases.
 
 use std::borrow::Borrow;
 use std::sync::Arc;
@@ -6,22 +6,22 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name in bytes; bounds what one name can cost in a wire message.
+/// Maximum length of a name in bytes; bounds the size of messages.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
-/// Why a string is not a valid name.
+/// Reason why a string is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum NameError {
-    /// The name has no characters.
+    /// The name is empty.
     #[display("a name is empty")]
     Empty,
     /// The name is longer than 64 bytes.
     #[display("a name has {len} bytes, more than {MAX_NAME_BYTES}")]
     TooLong {
-        /// Length found, in bytes.
+        /// Length of the name, in bytes.
         len: usize,
     },
-    /// The name holds a character other than ASCII letters, digits, `.`, `_` and `-`.
+    /// The name contains a character other than ASCII letters, digits, `.`, `_` and `-`.
     #[display("a name holds the character {found:?}")]
     BadCharacter {
         /// The first character that is not accepted.
@@ -51,10 +51,10 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and stores it as a name.
+            /// Creates a name from `text`.
             ///
             /// # Errors
-            /// Returns a [`NameError`] when the text is empty, too long or holds a character other
+            /// Returns a [`NameError`] if the text is empty, too long or contains a character other
             /// than ASCII letters, digits, `.`, `_` and `-`.
             ///
             /// ```
@@ -99,30 +99,30 @@
 }
 
 name_type!(
-    /// A client account: whoever calls the fleet with a key of its own and owns a share of capacity.
+    /// A client account: a client with its own API key and a share of the capacity.
     AccountName
 );
 name_type!(
-    /// A failure domain: hosts that can be lost together.
+    /// A failure domain: hosts that can fail together.
     DomainName
 );
 name_type!(
-    /// A region: failure domains that are near each other.
+    /// A region: failure domains with low latency between them.
     RegionName
 );
 name_type!(
-    /// A host: one machine that runs one process of the fleet.
+    /// A host: a machine that runs a process of the fleet.
     HostName
 );
 name_type!(
-    /// A pool: every upstream that serves one model or one plain service.
+    /// A pool: all upstreams of a model or plain service.
     PoolName
 );
 name_type!(
-    /// An upstream: one model engine or one process of a plain service.
+    /// An upstream: a model engine or a process of a plain service.
     UpstreamName
 );
 name_type!(
-    /// A lease: the right of one process at a time to do one job, such as giving orders to engines.
+    /// A lease: the exclusive right of a process to do a task, such as sending orders to engines.
     LeaseName
 );
--- a/crates/types/src/role.rs
+++ b/crates/types/src/role.rs
@@ -1,24 +1,24 @@
-//! What a daemon does on its host.
+//! Roles of the fleet's processes.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// The role of a daemon, from its settings and its certificate.
+/// Role of a process, stated in its settings and its certificate.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes requests from callers, queues them and delivers answers.
+    /// Receives requests from callers, queues them and returns the responses.
     #[display("entry")]
     Entry,
-    /// Runs beside upstreams, pulls waiting work and dispatches it.
+    /// Runs on the host of upstreams, pulls waiting requests and dispatches them.
     #[display("sidecar")]
     Sidecar,
-    /// Keeps the replicated log and relays membership and service counters.
+    /// Stores the replicated log and relays membership and service counters.
     #[display("control")]
     Control,
-    /// The operators' command line: it applies manifests and reads the state, and runs no daemon.
+    /// The operators' command line: applies manifests and reads the status; not a daemon.
     #[display("operator")]
     Operator,
 }
--- a/crates/types/src/service.rs
+++ b/crates/types/src/service.rs
@@ -1,11 +1,11 @@
-//! Units of service and the weight by which a client account is entitled to it.
+//! Units of service, and weights of client accounts.
 
 use derive_more::{Add, AddAssign, Display, Error, Sum};
 use serde::{Deserialize, Serialize};
 
-/// Service received: tokens in and out, each weighted by what it costs an engine.
+/// Amount of service: prompt and generated tokens, each weighted by its cost for an engine.
 ///
-/// A plain service call counts the cost its manifest states.
+/// A call of a plain service counts as the cost stated in its manifest.
 #[derive(
     Debug,
     Clone,
@@ -25,15 +25,15 @@
 )]
 pub struct ServiceUnits(pub u64);
 
-/// Why a number is not a weight.
+/// Error for a number that is not a valid weight.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("a weight of {found} is not between 1 and {}", Weight::MAX)]
 pub struct WeightError {
-    /// The number found.
+    /// The invalid number.
     found: u32,
 }
 
-/// The weight of a client account: its share of contended capacity is proportional to it.
+/// Weight of a client account; its share of contended capacity is proportional to it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -41,12 +41,12 @@
 pub struct Weight(u32);
 
 impl Weight {
-    /// The largest weight; keeps service divided by weight within 64 bits.
+    /// Maximum weight; keeps service divided by weight within 64 bits.
     pub const MAX: u32 = 10_000;
-    /// The weight of an account whose manifest states none.
+    /// Weight of an account for which the manifest states none.
     pub const DEFAULT: Self = Self(1);
 
-    /// Checks and stores a weight.
+    /// Creates a weight.
     ///
     /// # Errors
     /// Returns a [`WeightError`] for zero and for numbers above [`Weight::MAX`].
--- a/crates/types/tests/name.rs
+++ b/crates/types/tests/name.rs
@@ -1,10 +1,10 @@
-//! Names are checked where they enter.
+//! Validation of names.
 
 use coltsfootnotch_types::{AccountName, NameError};
 use googletest::prelude::*;
 
 #[gtest]
-fn a_name_with_a_space_is_refused() {
+fn a_name_with_a_space_is_rejected() {
     expect_that!(
         AccountName::new("two words"),
         err(eq(&NameError::BadCharacter { found: ' ' }))
@@ -12,7 +12,7 @@
 }
 
 #[gtest]
-fn a_name_that_would_cost_too_much_on_the_wire_is_refused() {
+fn a_name_above_the_maximum_length_is_rejected() {
     expect_that!(
         AccountName::new("x".repeat(65)),
         err(eq(&NameError::TooLong { len: 65 }))
