--- a/crates/wire/src/announce.rs
+++ b/crates/wire/src/announce.rs
@@ -142,27 +142,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error, From)]
 pub enum AnnounceError {
     /// The name of the upstream or of the pool is not valid.
-    #[display("invalid name in the announcement")]
+    #[display("the announcement holds a bad name")]
     Name(NameError),
     /// The address is not of the form `ip:port`.
-    #[display("invalid address in the announcement, expected ip:port")]
+    #[display("the announced address is not ip:port")]
     Address(AddrParseError),
     /// The time to live is zero or too long.
-    #[display("a time to live of {ttl_ms} ms is not between 1 and {MAX_TTL_MS} ms")]
+    #[display("a time to live of {ttl_ms} ms is not between 1 and {MAX_TTL_MS}")]
     #[from(ignore)]
     Ttl {
         /// The announced time to live, in milliseconds.
         ttl_ms: u64,
     },
     /// More than [`MAX_MODELS`] models.
-    #[display("{found} models exceed the limit of {MAX_MODELS}")]
+    #[display("{found} models are more than {MAX_MODELS}")]
     #[from(ignore)]
     TooManyModels {
         /// The announced number.
         found: usize,
     },
     /// More than [`MAX_CACHE_EVENTS`] cache events.
-    #[display("{found} cache events exceed the limit of {MAX_CACHE_EVENTS}")]
+    #[display("{found} cache events are more than {MAX_CACHE_EVENTS}")]
     #[from(ignore)]
     TooManyCacheEvents {
         /// The announced number.
