--- a/crates/decide/examples/service_bytes.rs
+++ b/crates/decide/examples/service_bytes.rs
@@ -181,12 +181,12 @@
         .map(|_| rng.random_range(0..accounts.len()))
         .collect();
     let total = |i: usize| (accounts[i].clone(), ServiceUnits(total_of(i)));
-    let elsewhere = served.into_iter().map(total).collect();
+    let remote = served.into_iter().map(total).collect();
     assert!(
         grouping.interval_ms.is_some(),
         "totals are sent at intervals"
     );
-    down.add(&Message::FromRelay(FromRelay::Totals { elsewhere }));
+    down.add(&Message::FromRelay(FromRelay::Totals { remote }));
 }
 
 /// A total of about a day's service, which determines its length on the wire.
--- a/crates/forward/src/load/fleet_load.rs
+++ b/crates/forward/src/load/fleet_load.rs
@@ -4,7 +4,9 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-use coltsfootnotch_wire::{AccountUse, BreakWord, LoadWord, PartUse, UpstreamUse};
+use coltsfootnotch_wire::{
+    AbortRecord, AccountDemand, EntryLoadReport, SegmentRecord, UpstreamUsage,
+};
 
 /// Age from which an entry's last report no longer counts: it has ended or is cut off. Reports come
 /// every 100 ms in a small fleet.
@@ -13,17 +15,17 @@
 /// Events since the start of a period, per entry so that each receives only those of the others.
 #[derive(Debug, Clone, Default)]
 struct Period {
-    upstreams: BTreeMap<String, UpstreamUse>,
-    accounts: BTreeMap<String, AccountUse>,
-    parts: Vec<PartUse>,
-    broken: Vec<BreakWord>,
-    mended: Vec<u64>,
+    upstreams: BTreeMap<String, UpstreamUsage>,
+    accounts: BTreeMap<String, AccountDemand>,
+    segments: Vec<SegmentRecord>,
+    aborts: Vec<AbortRecord>,
+    cleared: Vec<u64>,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Entry {
     last_seen: Duration,
-    in_flight: Vec<UpstreamUse>,
+    in_flight: Vec<UpstreamUsage>,
     period: Period,
 }
 
@@ -46,7 +48,7 @@
 
 impl<K: Eq + Hash> FleetLoad<K> {
     /// Records a report.
-    pub fn record(&mut self, now: Duration, from: K, load: LoadWord) {
+    pub fn record(&mut self, now: Duration, from: K, load: EntryLoadReport) {
         let entry = self.entries.entry(from).or_default();
         entry.last_seen = now;
         entry.period.add(&load);
@@ -78,20 +80,20 @@
     /// Totals of all entries but `receiver` in this period, given `totals` computed once for all
     /// receivers: summing the others for each receiver is quadratic in the number of entries.
     #[must_use]
-    pub fn excluding(&self, now: Duration, totals: &Totals, receiver: &K) -> LoadWord {
+    pub fn excluding(&self, now: Duration, totals: &Totals, receiver: &K) -> EntryLoadReport {
         let excluded = self.entries.get(receiver).filter(|e| is_live(now, e));
         let others = self.entries.iter().filter(|(key, _)| *key != receiver);
         let others: Vec<_> = others.map(|(_, e)| e).filter(|e| is_live(now, e)).collect();
-        let parts = others.iter().flat_map(|e| &e.period.parts);
-        let broken = others.iter().flat_map(|e| &e.period.broken);
-        let mended = others.iter().flat_map(|e| &e.period.mended);
+        let segments = others.iter().flat_map(|e| &e.period.segments);
+        let aborts = others.iter().flat_map(|e| &e.period.aborts);
+        let cleared = others.iter().flat_map(|e| &e.period.cleared);
         let (upstreams, accounts) = totals.subtract_entry(excluded);
-        LoadWord {
+        EntryLoadReport {
             upstreams,
             accounts,
-            parts: parts.cloned().collect(),
-            broken: broken.copied().collect(),
-            mended: mended.copied().collect(),
+            segments: segments.cloned().collect(),
+            aborts: aborts.copied().collect(),
+            cleared: cleared.copied().collect(),
         }
     }
 
@@ -111,8 +113,8 @@
 /// Totals of all entries in a period.
 #[derive(Debug, Clone, Default)]
 pub struct Totals {
-    upstreams: BTreeMap<String, UpstreamUse>,
-    accounts: BTreeMap<String, AccountUse>,
+    upstreams: BTreeMap<String, UpstreamUsage>,
+    accounts: BTreeMap<String, AccountDemand>,
 }
 
 impl Totals {
@@ -132,7 +134,7 @@
     }
 
     /// The totals without those of `excluded`, and without zero rows.
-    fn subtract_entry(&self, excluded: Option<&Entry>) -> (Vec<UpstreamUse>, Vec<AccountUse>) {
+    fn subtract_entry(&self, excluded: Option<&Entry>) -> (Vec<UpstreamUsage>, Vec<AccountDemand>) {
         let mut excluded_totals = Self::default();
         excluded
             .into_iter()
@@ -143,73 +145,76 @@
         });
         let accounts = self.accounts.values().map(|total| {
             let excluded = excluded_totals.accounts.get(&total.account);
-            AccountUse {
+            AccountDemand {
                 account: total.account.clone(),
-                asked: total.asked - excluded.map_or(0, |o| o.asked),
+                requested: total.requested - excluded.map_or(0, |o| o.requested),
                 admitted: total.admitted - excluded.map_or(0, |o| o.admitted),
             }
         });
-        let is_used = |used: &UpstreamUse| {
-            let unused = UpstreamUse {
+        let is_used = |used: &UpstreamUsage| {
+            let unused = UpstreamUsage {
                 id: used.id.clone(),
-                ..UpstreamUse::default()
+                ..UpstreamUsage::default()
             };
             *used != unused
         };
-        let accounts = accounts.filter(|a| a.asked > 0 || a.admitted > 0);
+        let accounts = accounts.filter(|a| a.requested > 0 || a.admitted > 0);
         (upstreams.filter(is_used).collect(), accounts.collect())
     }
 }
 
-fn subtract(total: &UpstreamUse, excluded: &UpstreamUse) -> UpstreamUse {
-    UpstreamUse {
+fn subtract(total: &UpstreamUsage, excluded: &UpstreamUsage) -> UpstreamUsage {
+    UpstreamUsage {
         id: total.id.clone(),
         waiting_tokens: total.waiting_tokens - excluded.waiting_tokens,
         running: total.running - excluded.running,
         held_tokens: total.held_tokens - excluded.held_tokens,
-        took_ms: total.took_ms - excluded.took_ms,
+        elapsed_ms: total.elapsed_ms - excluded.elapsed_ms,
         expected_ms: total.expected_ms - excluded.expected_ms,
         failed: total.failed - excluded.failed,
         succeeded: total.succeeded - excluded.succeeded,
     }
 }
 
-fn upstream_entry<'a>(all: &'a mut BTreeMap<String, UpstreamUse>, id: &str) -> &'a mut UpstreamUse {
-    let empty = || UpstreamUse {
+fn upstream_entry<'a>(
+    all: &'a mut BTreeMap<String, UpstreamUsage>,
+    id: &str,
+) -> &'a mut UpstreamUsage {
+    let empty = || UpstreamUsage {
         id: id.to_owned(),
-        ..UpstreamUse::default()
+        ..UpstreamUsage::default()
     };
     all.entry(id.to_owned()).or_insert_with(empty)
 }
 
-fn add_counters(total: &mut UpstreamUse, used: &UpstreamUse) {
-    total.took_ms += used.took_ms;
+fn add_counters(total: &mut UpstreamUsage, used: &UpstreamUsage) {
+    total.elapsed_ms += used.elapsed_ms;
     total.expected_ms += used.expected_ms;
     total.failed += used.failed;
     total.succeeded += used.succeeded;
 }
 
-fn add_account(all: &mut BTreeMap<String, AccountUse>, used: &AccountUse) {
-    let empty = || AccountUse {
+fn add_account(all: &mut BTreeMap<String, AccountDemand>, used: &AccountDemand) {
+    let empty = || AccountDemand {
         account: used.account.clone(),
-        asked: 0,
+        requested: 0,
         admitted: 0,
     };
     let total = all.entry(used.account.clone()).or_insert_with(empty);
-    total.asked += used.asked;
+    total.requested += used.requested;
     total.admitted += used.admitted;
 }
 
 impl Period {
-    fn add(&mut self, load: &LoadWord) {
+    fn add(&mut self, load: &EntryLoadReport) {
         for used in &load.upstreams {
             add_counters(upstream_entry(&mut self.upstreams, &used.id), used);
         }
         for used in &load.accounts {
             add_account(&mut self.accounts, used);
         }
-        self.parts.extend(load.parts.iter().cloned());
-        self.broken.extend(&load.broken);
-        self.mended.extend(&load.mended);
+        self.segments.extend(load.segments.iter().cloned());
+        self.aborts.extend(&load.aborts);
+        self.cleared.extend(&load.cleared);
     }
 }
--- a/crates/forward/src/load/in_flight.rs
+++ b/crates/forward/src/load/in_flight.rs
@@ -2,7 +2,7 @@
 
 use std::ops::AddAssign;
 
-use coltsfootnotch_wire::UpstreamUse;
+use coltsfootnotch_wire::UpstreamUsage;
 
 /// Requests at an upstream that have not finished.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -23,8 +23,8 @@
     }
 }
 
-impl From<&UpstreamUse> for InFlight {
-    fn from(usage: &UpstreamUse) -> Self {
+impl From<&UpstreamUsage> for InFlight {
+    fn from(usage: &UpstreamUsage) -> Self {
         Self {
             waiting_tokens: usage.waiting_tokens,
             running: usage.running,
--- a/crates/forward/src/load/slowdown.rs
+++ b/crates/forward/src/load/slowdown.rs
@@ -33,16 +33,16 @@
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Slowdown {
-    took_ms: f64,
+    elapsed_ms: f64,
     expected_ms: f64,
     updated_at: Duration,
 }
 
 impl Slowdown {
-    /// Records that requests took `took_ms` where `expected_ms` was expected.
-    pub fn observe(&mut self, now: Duration, took_ms: f64, expected_ms: f64) {
+    /// Records that requests took `elapsed_ms` where `expected_ms` was expected.
+    pub fn observe(&mut self, now: Duration, elapsed_ms: f64, expected_ms: f64) {
         let remaining = decay(now.saturating_sub(self.updated_at), DECAY_TIME);
-        self.took_ms = self.took_ms * remaining + took_ms;
+        self.elapsed_ms = self.elapsed_ms * remaining + elapsed_ms;
         self.expected_ms = self.expected_ms * remaining + expected_ms;
         self.updated_at = self.updated_at.max(now);
     }
@@ -52,7 +52,7 @@
     pub fn factor(&self, now: Duration) -> f64 {
         let remaining = decay(now.saturating_sub(self.updated_at), DECAY_TIME);
         let ratio =
-            (PRIOR_MS + self.took_ms * remaining) / (PRIOR_MS + self.expected_ms * remaining);
+            (PRIOR_MS + self.elapsed_ms * remaining) / (PRIOR_MS + self.expected_ms * remaining);
         ratio.clamp(MIN_FACTOR, MAX_FACTOR)
     }
 }
--- a/crates/forward/src/load/upstream_load.rs
+++ b/crates/forward/src/load/upstream_load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use coltsfootnotch_wire::UpstreamUse;
+use coltsfootnotch_wire::UpstreamUsage;
 
 use super::{BacklogLimit, CachedSegments, InFlight, Slowdown, UpstreamHealth};
 
@@ -22,7 +22,7 @@
 /// Counters of this entry since its last report.
 #[derive(Debug, Clone, Copy, Default)]
 struct Counters {
-    took_ms: f64,
+    elapsed_ms: f64,
     expected_ms: f64,
     failed: u32,
     succeeded: u32,
@@ -79,9 +79,9 @@
     /// Records the first event of a request.
     pub fn on_first_event(&mut self, now: Duration, sent: &SentRequest) {
         self.leave_backlog(sent);
-        let took_ms = now.saturating_sub(sent.at).as_secs_f64() * 1e3;
-        self.slowdown.observe(now, took_ms, sent.expected_ms);
-        self.since_report.took_ms += took_ms;
+        let elapsed_ms = now.saturating_sub(sent.at).as_secs_f64() * 1e3;
+        self.slowdown.observe(now, elapsed_ms, sent.expected_ms);
+        self.since_report.elapsed_ms += elapsed_ms;
         self.since_report.expected_ms += sent.expected_ms;
     }
 
@@ -121,11 +121,11 @@
     }
 
     /// Applies the totals of the other entries.
-    pub fn apply_remote(&mut self, now: Duration, report: &UpstreamUse) {
+    pub fn apply_remote(&mut self, now: Duration, report: &UpstreamUsage) {
         self.remote = InFlight::from(report);
         if report.expected_ms > 0 {
             self.slowdown
-                .observe(now, report.took_ms as f64, report.expected_ms as f64);
+                .observe(now, report.elapsed_ms as f64, report.expected_ms as f64);
         }
         if report.failed > 0 || report.succeeded > 0 {
             self.health.on_ended(now, report.failed, report.succeeded);
@@ -138,21 +138,21 @@
     }
 
     /// The report of this period, if there is anything to report; starts a new one.
-    pub fn report(&mut self, id: &str) -> Option<UpstreamUse> {
+    pub fn report(&mut self, id: &str) -> Option<UpstreamUsage> {
         let since_report = std::mem::take(&mut self.since_report);
-        let report = UpstreamUse {
+        let report = UpstreamUsage {
             id: id.to_owned(),
             waiting_tokens: self.local.waiting_tokens,
             running: self.local.running,
             held_tokens: self.local.held_tokens,
-            took_ms: since_report.took_ms as u64,
+            elapsed_ms: since_report.elapsed_ms as u64,
             expected_ms: since_report.expected_ms as u64,
             failed: since_report.failed,
             succeeded: since_report.succeeded,
         };
-        let idle = UpstreamUse {
+        let idle = UpstreamUsage {
             id: id.to_owned(),
-            ..UpstreamUse::default()
+            ..UpstreamUsage::default()
         };
         (report != idle).then_some(report)
     }
--- a/crates/forward/src/load/upstream_loads.rs
+++ b/crates/forward/src/load/upstream_loads.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_wire::{LoadWord, PartUse, UpstreamUse};
+use coltsfootnotch_wire::{EntryLoadReport, SegmentRecord, UpstreamUsage};
 
 use super::{PromptSegment, UpstreamLoad};
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamLoads {
     by_id: BTreeMap<Arc<str>, (u64, UpstreamLoad)>,
-    unreported: Vec<PartUse>,
+    unreported: Vec<SegmentRecord>,
 }
 
 impl UpstreamLoads {
@@ -53,9 +53,9 @@
         };
         for segment in segments {
             if load.cached.record(now, *segment, capacity) {
-                self.unreported.push(PartUse {
+                self.unreported.push(SegmentRecord {
                     upstream: id.to_string(),
-                    part: segment.id,
+                    segment: segment.id,
                     tokens: segment.tokens,
                 });
             }
@@ -67,7 +67,7 @@
     pub fn apply_remote(
         &mut self,
         now: Duration,
-        report: &LoadWord,
+        report: &EntryLoadReport,
         capacity: impl Fn(&str) -> u64,
     ) {
         for (_, load) in self.by_id.values_mut() {
@@ -78,10 +78,10 @@
                 load.apply_remote(now, used);
             }
         }
-        for used in &report.parts {
+        for used in &report.segments {
             if let Some((_, load)) = self.by_id.get_mut(used.upstream.as_str()) {
                 let segment = PromptSegment {
-                    id: used.part,
+                    id: used.segment,
                     tokens: used.tokens,
                 };
                 load.cached.record(now, segment, capacity(&used.upstream));
@@ -90,7 +90,7 @@
     }
 
     /// The report of this period; starts a new one.
-    pub fn report(&mut self) -> (Vec<UpstreamUse>, Vec<PartUse>) {
+    pub fn report(&mut self) -> (Vec<UpstreamUsage>, Vec<SegmentRecord>) {
         let all = self.by_id.iter_mut();
         let uses = all.filter_map(|(id, (_, load))| load.report(id)).collect();
         (uses, std::mem::take(&mut self.unreported))
--- a/crates/forward/src/registry/announcement.rs
+++ b/crates/forward/src/registry/announcement.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_wire::{UpstreamStage, UpstreamWord};
+use coltsfootnotch_wire::{UpstreamRecord, UpstreamStage};
 
 /// Stage of an upstream's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -60,7 +60,7 @@
     }
 }
 
-impl From<&Announcement> for UpstreamWord {
+impl From<&Announcement> for UpstreamRecord {
     fn from(announcement: &Announcement) -> Self {
         Self {
             id: announcement.id.to_string(),
@@ -76,8 +76,8 @@
     }
 }
 
-impl From<UpstreamWord> for Announcement {
-    fn from(message: UpstreamWord) -> Self {
+impl From<UpstreamRecord> for Announcement {
+    fn from(message: UpstreamRecord) -> Self {
         Self {
             id: message.id.into(),
             born_ms: message.born_ms,
--- a/crates/forward/src/retry/poison_requests.rs
+++ b/crates/forward/src/retry/poison_requests.rs
@@ -9,7 +9,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use coltsfootnotch_wire::BreakWord;
+use coltsfootnotch_wire::AbortRecord;
 
 /// Crashed runs of upstreams from which a content is refused. Two may be chance: a request that ran
 /// beside a crash and was retried at an upstream that crashed as well.
@@ -33,31 +33,31 @@
 /// ```
 /// use std::time::Duration;
 /// use coltsfootnotch_forward::retry::PoisonRequests;
-/// use coltsfootnotch_wire::BreakWord;
+/// use coltsfootnotch_wire::AbortRecord;
 /// let mut poison = PoisonRequests::default();
 /// let now = Duration::from_secs(1);
-/// poison.record(now, BreakWord { content: 7, run: 1 });
-/// poison.record(now, BreakWord { content: 7, run: 2 });
+/// poison.record(now, AbortRecord { content: 7, run: 1 });
+/// poison.record(now, AbortRecord { content: 7, run: 2 });
 /// assert!(!poison.is_refused(now, 7));
-/// poison.record(now, BreakWord { content: 7, run: 3 });
+/// poison.record(now, AbortRecord { content: 7, run: 3 });
 /// assert!(poison.is_refused(now, 7));
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct PoisonRequests {
     by_content: HashMap<u64, Crashes>,
-    unreported: Vec<BreakWord>,
+    unreported: Vec<AbortRecord>,
     cleared: Vec<u64>,
 }
 
 impl PoisonRequests {
     /// Records that an upstream crashed while it ran a request of this entry with the content.
-    pub fn record_local(&mut self, now: Duration, crash: BreakWord) {
+    pub fn record_local(&mut self, now: Duration, crash: AbortRecord) {
         self.unreported.push(crash);
         self.record(now, crash);
     }
 
     /// Records the same for a request of another entry.
-    pub fn record(&mut self, now: Duration, crash: BreakWord) {
+    pub fn record(&mut self, now: Duration, crash: AbortRecord) {
         if self.by_content.len() >= MAX_CONTENTS {
             self.by_content
                 .retain(|_, b| now.saturating_sub(b.last) < RETENTION);
@@ -98,7 +98,7 @@
     }
 
     /// Crashes, and contents cleared by a success, at this entry since the last report.
-    pub fn report(&mut self) -> (Vec<BreakWord>, Vec<u64>) {
+    pub fn report(&mut self) -> (Vec<AbortRecord>, Vec<u64>) {
         let crashes = std::mem::take(&mut self.unreported);
         (crashes, std::mem::take(&mut self.cleared))
     }
--- a/crates/forward/src/share/fair_shares.rs
+++ b/crates/forward/src/share/fair_shares.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use coltsfootnotch_wire::{AccountUse, LoadWord};
+use coltsfootnotch_wire::{AccountDemand, EntryLoadReport};
 
 use crate::load::decay;
 
@@ -81,12 +81,12 @@
     }
 
     /// Applies the usage at the other entries.
-    pub fn apply_remote(&mut self, now: Duration, report: &LoadWord) {
+    pub fn apply_remote(&mut self, now: Duration, report: &EntryLoadReport) {
         self.decay(now);
         for other in &report.accounts {
             let used = self.by_account.entry(other.account.as_str().into());
             let used = used.or_default();
-            used.demand += other.asked as f64;
+            used.demand += other.requested as f64;
             used.admitted += other.admitted as f64;
         }
     }
@@ -105,15 +105,15 @@
     }
 
     /// Usage at this entry since its last report.
-    pub fn report(&mut self) -> Vec<AccountUse> {
+    pub fn report(&mut self) -> Vec<AccountDemand> {
         let mut reports = Vec::new();
         for (account, used) in &mut self.by_account {
-            let report = AccountUse {
+            let report = AccountDemand {
                 account: account.to_string(),
-                asked: std::mem::take(&mut used.unreported_demand),
+                requested: std::mem::take(&mut used.unreported_demand),
                 admitted: std::mem::take(&mut used.unreported_admitted),
             };
-            if report.asked > 0 || report.admitted > 0 {
+            if report.requested > 0 || report.admitted > 0 {
                 reports.push(report);
             }
         }
--- a/crates/forward/tests/testsuite/load.rs
+++ b/crates/forward/tests/testsuite/load.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_forward::load::{FleetLoad, PromptSegment, SentRequest, UpstreamLoads};
-use coltsfootnotch_wire::LoadWord;
+use coltsfootnotch_wire::EntryLoadReport;
 use googletest::prelude::*;
 
 const NOW: Duration = Duration::from_secs(1);
@@ -18,16 +18,20 @@
     }
 }
 
-fn report(loads: &mut UpstreamLoads) -> LoadWord {
-    let (upstreams, parts) = loads.report();
-    LoadWord {
+fn report(loads: &mut UpstreamLoads) -> EntryLoadReport {
+    let (upstreams, segments) = loads.report();
+    EntryLoadReport {
         upstreams,
-        parts,
-        ..LoadWord::default()
+        segments,
+        ..EntryLoadReport::default()
     }
 }
 
-fn excluding<K: Eq + std::hash::Hash>(fleet: &FleetLoad<K>, now: Duration, key: &K) -> LoadWord {
+fn excluding<K: Eq + std::hash::Hash>(
+    fleet: &FleetLoad<K>,
+    now: Duration,
+    key: &K,
+) -> EntryLoadReport {
     fleet.excluding(now, &fleet.totals(now), key)
 }
 
@@ -60,10 +64,16 @@
     let mut fleet = FleetLoad::default();
     fleet.record(NOW, "a", report(&mut loads));
     let first = excluding(&fleet, NOW, &"b");
-    expect_that!((first.upstreams[0].failed, first.parts.len()), eq((1, 1)));
+    expect_that!(
+        (first.upstreams[0].failed, first.segments.len()),
+        eq((1, 1))
+    );
     fleet.start_period(NOW);
     let second = excluding(&fleet, NOW, &"b");
-    expect_that!((second.upstreams[0].failed, second.parts.len()), eq((0, 0)));
+    expect_that!(
+        (second.upstreams[0].failed, second.segments.len()),
+        eq((0, 0))
+    );
     expect_that!(second.upstreams[0].running, eq(1));
 }
 
--- a/crates/forward/tests/testsuite/many_entries/fleet.rs
+++ b/crates/forward/tests/testsuite/many_entries/fleet.rs
@@ -8,7 +8,7 @@
     Candidate, PlacementRequest, PrefillRate, Prompt, place_engine,
 };
 use coltsfootnotch_forward::share::FairShares;
-use coltsfootnotch_wire::LoadWord;
+use coltsfootnotch_wire::EntryLoadReport;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -57,7 +57,7 @@
     running: Vec<Running>,
     control: FleetLoad<usize>,
     /// Reports in transit to the entries.
-    in_transit: Vec<LoadWord>,
+    in_transit: Vec<EntryLoadReport>,
     rng: StdRng,
     now: Duration,
 }
@@ -206,13 +206,13 @@
             entry.shares.apply_remote(now, &report);
         }
         for (n, entry) in self.entries.iter_mut().enumerate() {
-            let (upstreams, parts) = entry.loads.report();
+            let (upstreams, segments) = entry.loads.report();
             let accounts = entry.shares.report();
-            let report = LoadWord {
+            let report = EntryLoadReport {
                 upstreams,
-                parts,
+                segments,
                 accounts,
-                ..LoadWord::default()
+                ..EntryLoadReport::default()
             };
             self.control.record(now, n, report);
         }
--- a/crates/forward/tests/testsuite/retry.rs
+++ b/crates/forward/tests/testsuite/retry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_forward::retry::{PoisonRequests, RetryBudget, RetryLimit};
-use coltsfootnotch_wire::BreakWord;
+use coltsfootnotch_wire::AbortRecord;
 use googletest::prelude::*;
 use proptest::prelude::{prop_assert, proptest};
 
@@ -52,10 +52,10 @@
     for entry in 0..3 {
         let run = entry as u64;
         let bystander = 100 + run;
-        entries[entry].record_local(now, BreakWord { content: 7, run });
+        entries[entry].record_local(now, AbortRecord { content: 7, run });
         entries[entry].record_local(
             now,
-            BreakWord {
+            AbortRecord {
                 content: bystander,
                 run,
             },
@@ -82,7 +82,7 @@
     let now = Duration::from_secs(5);
     let mut poison = PoisonRequests::default();
     for _ in 0..10 {
-        poison.record_local(now, BreakWord { content: 7, run: 1 });
+        poison.record_local(now, AbortRecord { content: 7, run: 1 });
     }
     expect_that!(poison.is_refused(now, 7), eq(false));
 }
@@ -94,7 +94,7 @@
     let now = Duration::from_secs(5);
     let (mut local, mut remote) = (PoisonRequests::default(), PoisonRequests::default());
     for run in 0..20 {
-        let crash = BreakWord { content: 7, run };
+        let crash = AbortRecord { content: 7, run };
         local.record_local(now, crash);
         remote.record(now, crash);
         if run % 2 == 1 {
--- a/crates/forward/tests/testsuite/share.rs
+++ b/crates/forward/tests/testsuite/share.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_forward::share::FairShares;
-use coltsfootnotch_wire::{AccountUse, LoadWord};
+use coltsfootnotch_wire::{AccountDemand, EntryLoadReport};
 use googletest::prelude::*;
 use proptest::prelude::{prop_assert, proptest};
 
@@ -12,9 +12,9 @@
 
 fn shares(used: &[(&str, u64, u64)]) -> FairShares {
     let mut shares = FairShares::default();
-    for (account, asked, admitted) in used {
+    for (account, requested, admitted) in used {
         let account: Arc<str> = (*account).into();
-        shares.record_requested(NOW, &account, *asked);
+        shares.record_requested(NOW, &account, *requested);
         shares.record_admitted(NOW, &account, *admitted);
     }
     shares
@@ -43,18 +43,18 @@
 #[googletest::test]
 fn usage_at_other_entries_counts_and_is_not_reported_again() {
     let mut shares = shares(&[("a", 100, 50)]);
-    let report = LoadWord {
-        accounts: vec![AccountUse {
+    let report = EntryLoadReport {
+        accounts: vec![AccountDemand {
             account: "a".to_owned(),
-            asked: 1_000,
+            requested: 1_000,
             admitted: 900,
         }],
-        ..LoadWord::default()
+        ..EntryLoadReport::default()
     };
     shares.apply_remote(NOW, &report);
     let local = shares.report();
     expect_that!(local.len(), eq(1));
-    expect_that!(local[0].asked, eq(100));
+    expect_that!(local[0].requested, eq(100));
     expect_that!(shares.report(), is_empty());
     expect_that!(shares.pressure(NOW, "a"), some(gt(0.9)));
 }
@@ -79,7 +79,7 @@
         let used: Vec<(&str, u64, u64)> = names
             .iter()
             .zip(&used)
-            .map(|(name, (asked, percent))| (name.as_str(), *asked, asked * percent / 100))
+            .map(|(name, (units, percent))| (name.as_str(), *units, units * percent / 100))
             .collect();
         let even = used.iter().map(|(_, _, got)| *got).sum::<u64>() as f64 / used.len() as f64;
         let mut shares = shares(&used);
--- a/crates/router/src/entry/action.rs
+++ b/crates/router/src/entry/action.rs
@@ -1,7 +1,7 @@
 //! Actions that the entry core requests from its daemon.
 
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{AttemptId, BeginCause, ToSidecar};
+use coltsfootnotch_wire::{AttemptId, OpenCause, ToSidecar};
 
 use super::QueuedRequest;
 
@@ -25,7 +25,7 @@
         /// The incarnation of the sidecar that may dispatch it.
         sidecar: Incarnation,
         /// Whether the attempt is an offer or answers a pull.
-        cause: BeginCause,
+        cause: OpenCause,
         /// The request; pass it to [`EntryCore::requeue`](super::EntryCore::requeue) if the attempt
         /// is not started.
         waiting: QueuedRequest,
--- a/crates/router/src/entry/core.rs
+++ b/crates/router/src/entry/core.rs
@@ -5,7 +5,7 @@
 
 use coltsfootnotch_decide::route::PrefixMap;
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{AttemptId, BeginCause};
+use coltsfootnotch_wire::{AttemptId, OpenCause};
 
 use super::concurrency::Concurrency;
 use super::{EntryAction, PoolQueue, QueuedRequest, SidecarView};
@@ -240,7 +240,7 @@
         }
         let sidecar = view.incarnation;
         let now = waiting.arrived;
-        self.open_attempt(now, to, sidecar, BeginCause::Offer, waiting);
+        self.open_attempt(now, to, sidecar, OpenCause::Offer, waiting);
     }
 
     pub(super) fn open_attempt(
@@ -248,7 +248,7 @@
         now: Duration,
         to: &HostName,
         sidecar: Incarnation,
-        cause: BeginCause,
+        cause: OpenCause,
         waiting: QueuedRequest,
     ) {
         if let Some((prefix, view)) = waiting.prefix_key().zip(self.sidecars.get(to)) {
--- a/crates/router/src/entry/messages.rs
+++ b/crates/router/src/entry/messages.rs
@@ -4,7 +4,7 @@
 
 use coltsfootnotch_decide::route::PrefixKey;
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{BeginCause, FromSidecar};
+use coltsfootnotch_wire::{FromSidecar, OpenCause};
 
 use super::EntryCore;
 
@@ -12,7 +12,7 @@
     /// Handles a message from a sidecar.
     pub fn on_message(&mut self, now: Duration, from: &HostName, message: FromSidecar) {
         match message {
-            FromSidecar::Free {
+            FromSidecar::FreeSlots {
                 pool,
                 slots,
                 usable,
@@ -35,7 +35,7 @@
             // Handled by the daemon, which checks requests against crashes before it submits them.
             FromSidecar::Crashed(_)
             | FromSidecar::Cleared { .. }
-            | FromSidecar::Disowned { .. } => {}
+            | FromSidecar::AttemptClosed { .. } => {}
         }
     }
 
@@ -93,6 +93,6 @@
         };
         self.pending.remove(&waiting.request);
         self.mark_changed(&waiting);
-        self.open_attempt(now, from, sidecar, BeginCause::Pull { pull }, waiting);
+        self.open_attempt(now, from, sidecar, OpenCause::Pull { pull }, waiting);
     }
 }
--- a/crates/router/src/entry/wait_updates.rs
+++ b/crates/router/src/entry/wait_updates.rs
@@ -83,7 +83,7 @@
         self.flush_to(now, to, pool);
         let waits = self.refresh_waits(now, to, pool, accounts);
         self.send_waits(to.clone(), pool.clone(), false, waits);
-        let message = ToSidecar::Nothing { pull };
+        let message = ToSidecar::NoWork { pull };
         let to = to.clone();
         self.actions.push(EntryAction::Send { to, message });
     }
--- a/crates/router/src/sidecar/action.rs
+++ b/crates/router/src/sidecar/action.rs
@@ -40,7 +40,7 @@
     pub fn run_end(self) -> RunEnd {
         match self {
             Self::Finished => RunEnd::Finished,
-            Self::Failed(FailReason::Cancelled | FailReason::PiecesGone) => RunEnd::Cancelled,
+            Self::Failed(FailReason::Cancelled | FailReason::ChunksDiscarded) => RunEnd::Cancelled,
             Self::NotReached | Self::Failed(_) => RunEnd::Failed,
         }
     }
--- a/crates/router/src/sidecar/attempts.rs
+++ b/crates/router/src/sidecar/attempts.rs
@@ -7,7 +7,7 @@
 use coltsfootnotch_decide::window::RunEnd;
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{
-    AttemptId, Begin, BeginCause, ContentKey, FromSidecar, NotStartedReason,
+    AttemptId, ContentKey, FromSidecar, NotStartedReason, OpenAttempt, OpenCause,
 };
 
 use super::runs::Run;
@@ -25,29 +25,29 @@
         &mut self,
         now: Duration,
         from: &HostName,
-        begin: &Begin,
+        open: &OpenAttempt,
     ) -> Result<UpstreamName, NotStartedReason> {
-        if begin.sidecar != self.incarnation {
+        if open.sidecar != self.incarnation {
             return Err(NotStartedReason::OtherIncarnation);
         }
-        if self.runs.contains(begin.attempt) {
+        if self.runs.contains(open.attempt) {
             return Err(NotStartedReason::Duplicate);
         }
-        let upstream = self.slot_for(now, from, begin)?;
-        let has_waiting = self.ledger.choose(&begin.pool).is_some();
+        let upstream = self.slot_for(now, from, open)?;
+        let has_waiting = self.ledger.choose(&open.pool).is_some();
         let slots = self.upstreams.get_mut(&upstream);
         let slots = slots.ok_or(NotStartedReason::Leaving)?;
-        isolate_suspect(slots, begin)?;
-        if !begin.repeatable && !self.dispatched.dispatch(begin.attempt) {
+        isolate_suspect(slots, open)?;
+        if !open.repeatable && !self.dispatched.dispatch(open.attempt) {
             // The suspect does not start, so it must not block other suspects.
-            slots.isolation.release(&suspect_key(&content_key(begin)));
+            slots.isolation.release(&suspect_key(&content_key(open)));
             return Err(NotStartedReason::Duplicate);
         }
         slots.window.on_start(now, has_waiting);
         let slot = (upstream.clone(), slots.generation);
-        let charge = self.ledger.start(&begin.account, Some(begin.estimate));
-        let run = Run::new(begin, slot, charge, now);
-        self.runs.insert(begin.attempt, run);
+        let charge = self.ledger.start(&open.account, Some(open.estimate));
+        let run = Run::new(open, slot, charge, now);
+        self.runs.insert(open.attempt, run);
         Ok(upstream)
     }
 
@@ -132,28 +132,28 @@
         &mut self,
         now: Duration,
         from: &HostName,
-        begin: &Begin,
+        open: &OpenAttempt,
     ) -> Result<UpstreamName, NotStartedReason> {
-        let pulled = match begin.cause {
-            BeginCause::Pull { pull } => {
+        let pulled = match open.cause {
+            OpenCause::Pull { pull } => {
                 let reservation = self.pulls.take(now, pull);
                 let reservation = reservation.ok_or(NotStartedReason::PullExpired)?;
                 let slot = (reservation.upstream.clone(), reservation.generation);
                 self.unreserve(reservation);
                 Some(slot)
             }
-            BeginCause::Offer if !begin.repeatable => return Err(NotStartedReason::PullExpired),
-            BeginCause::Offer => {
-                self.entries.on_offer(from, &begin.pool);
+            OpenCause::Offer if !open.repeatable => return Err(NotStartedReason::PullExpired),
+            OpenCause::Offer => {
+                self.entries.on_offer(from, &open.pool);
                 None
             }
-            BeginCause::Resume { .. } => return Err(NotStartedReason::Duplicate),
+            OpenCause::Resume { .. } => return Err(NotStartedReason::Duplicate),
         };
         if self.draining {
             return Err(NotStartedReason::Leaving);
         }
-        let reserved = pulled.and_then(|slot| self.if_still_usable(now, slot, &begin.pool));
-        let upstream = reserved.or_else(|| self.upstreams.with_most_free(now, &begin.pool));
+        let reserved = pulled.and_then(|slot| self.if_still_usable(now, slot, &open.pool));
+        let upstream = reserved.or_else(|| self.upstreams.with_most_free(now, &open.pool));
         upstream.ok_or(NotStartedReason::Busy)
     }
 
@@ -172,13 +172,13 @@
 }
 
 /// Admits a crash suspect only if no other suspect runs on the upstream.
-fn isolate_suspect(slots: &mut UpstreamSlots, begin: &Begin) -> Result<(), NotStartedReason> {
-    if begin.suspected_of.is_empty() {
+fn isolate_suspect(slots: &mut UpstreamSlots, open: &OpenAttempt) -> Result<(), NotStartedReason> {
+    if open.suspected_of.is_empty() {
         return Ok(());
     }
     if slots
         .isolation
-        .try_acquire(&suspect_key(&content_key(begin)))
+        .try_acquire(&suspect_key(&content_key(open)))
     {
         Ok(())
     } else {
@@ -186,10 +186,10 @@
     }
 }
 
-fn content_key(begin: &Begin) -> ContentKey {
+fn content_key(open: &OpenAttempt) -> ContentKey {
     ContentKey {
-        account: begin.account.clone(),
-        content: begin.content,
+        account: open.account.clone(),
+        content: open.content,
     }
 }
 
--- a/crates/router/src/sidecar/core.rs
+++ b/crates/router/src/sidecar/core.rs
@@ -144,7 +144,7 @@
             } => {
                 self.on_waits(now, from, &pool, full, &changes);
             }
-            ToSidecar::Nothing { pull } => {
+            ToSidecar::NoWork { pull } => {
                 if let Some(reservation) = self.pulls.release(pull) {
                     self.unreserve(reservation);
                 }
@@ -152,7 +152,7 @@
             ToSidecar::Cancel { attempt } => {
                 self.actions.push(SidecarAction::Cancel { attempt });
             }
-            ToSidecar::Disown { attempt } => self.on_disown(now, from, attempt),
+            ToSidecar::CloseAttempt { attempt } => self.on_close_attempt(now, from, attempt),
         }
         self.expire_pulls(now, None);
     }
@@ -241,9 +241,12 @@
             .collect()
     }
 
-    fn on_disown(&mut self, now: Duration, from: &HostName, attempt: AttemptId) {
-        let never = self.dispatched.abandon(now, attempt);
-        let message = FromSidecar::Disowned { attempt, never };
+    fn on_close_attempt(&mut self, now: Duration, from: &HostName, attempt: AttemptId) {
+        let never_dispatched = self.dispatched.abandon(now, attempt);
+        let message = FromSidecar::AttemptClosed {
+            attempt,
+            never_dispatched,
+        };
         let to = from.clone();
         self.actions.push(SidecarAction::Send { to, message });
     }
--- a/crates/router/src/sidecar/crash_log.rs
+++ b/crates/router/src/sidecar/crash_log.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{ContentKey, CrashNews, CrashRef};
+use coltsfootnotch_wire::{ContentKey, CrashRef, UpstreamCrash};
 
 use super::action::millis_since;
 
@@ -19,7 +19,7 @@
     host: HostName,
     incarnation: Incarnation,
     recorded: u64,
-    recent: VecDeque<(Duration, CrashNews)>,
+    recent: VecDeque<(Duration, UpstreamCrash)>,
 }
 
 impl CrashLog {
@@ -40,14 +40,14 @@
         now: Duration,
         upstream: &UpstreamName,
         suspects: Vec<ContentKey>,
-    ) -> CrashNews {
+    ) -> UpstreamCrash {
         self.recorded += 1;
         let crash = CrashRef {
             host: self.host.clone(),
             incarnation: self.incarnation,
             number: self.recorded,
         };
-        let report = CrashNews {
+        let report = UpstreamCrash {
             crash,
             upstream: upstream.clone(),
             suspects,
@@ -61,10 +61,10 @@
     }
 
     /// The crashes to report to an entry that connects now.
-    pub fn recent(&mut self, now: Duration) -> impl Iterator<Item = CrashNews> {
+    pub fn recent(&mut self, now: Duration) -> impl Iterator<Item = UpstreamCrash> {
         self.recent
             .retain(|(at, _)| now.saturating_sub(*at) < RETENTION);
-        self.recent.iter().map(move |(at, report)| CrashNews {
+        self.recent.iter().map(move |(at, report)| UpstreamCrash {
             age_ms: millis_since(*at, now),
             ..report.clone()
         })
--- a/crates/router/src/sidecar/entry_updates.rs
+++ b/crates/router/src/sidecar/entry_updates.rs
@@ -93,7 +93,7 @@
             return None;
         }
         self.free.insert(slots.pool.clone(), slots.free);
-        Some(FromSidecar::Free {
+        Some(FromSidecar::FreeSlots {
             pool: slots.pool.clone(),
             slots: slots.free,
             usable: slots.usable,
--- a/crates/router/src/sidecar/runs.rs
+++ b/crates/router/src/sidecar/runs.rs
@@ -5,7 +5,7 @@
 
 use coltsfootnotch_decide::estimate::RunCharge;
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{AttemptId, Begin, ContentKey, CrashRef};
+use coltsfootnotch_wire::{AttemptId, ContentKey, CrashRef, OpenAttempt};
 
 /// A running attempt.
 #[derive(Debug)]
@@ -23,20 +23,20 @@
 
 impl Run {
     pub(super) fn new(
-        begin: &Begin,
+        open: &OpenAttempt,
         (upstream, generation): (UpstreamName, u64),
         charge: RunCharge,
         now: Duration,
     ) -> Self {
         let key = ContentKey {
-            account: begin.account.clone(),
-            content: begin.content,
+            account: open.account.clone(),
+            content: open.content,
         };
         Self {
             upstream,
             generation,
             key,
-            suspected_of: begin.suspected_of.clone(),
+            suspected_of: open.suspected_of.clone(),
             charge,
             started: now,
             tokens: None,
--- a/crates/router/tests/concurrency.rs
+++ b/crates/router/tests/concurrency.rs
@@ -67,7 +67,7 @@
     let mut core = EntryCore::new(Incarnation(1), domain.clone());
     core.set_running_limits(HashMap::from([(account("bistro"), 1)]));
     core.on_sidecar_connected(sidecar(), Incarnation(2), domain);
-    let free = FromSidecar::Free {
+    let free = FromSidecar::FreeSlots {
         pool: pool(),
         slots: 8,
         usable: 8,
--- a/crates/router/tests/late_binding/sim/attempts.rs
+++ b/crates/router/tests/late_binding/sim/attempts.rs
@@ -4,7 +4,7 @@
 
 use coltsfootnotch_router::{QueuedRequest, RunOutcome};
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{AttemptId, Begin, BeginCause, Call, CrashRef, NotStartedReason};
+use coltsfootnotch_wire::{AttemptId, Call, CrashRef, NotStartedReason, OpenAttempt, OpenCause};
 use rand::Rng;
 
 use super::engine::{PREFILL, Run};
@@ -14,7 +14,13 @@
 const MAX_ATTEMPTS: u32 = 3;
 
 impl Sim {
-    pub(super) fn open(&mut self, e: usize, s: usize, begin: Box<Begin>, waiting: QueuedRequest) {
+    pub(super) fn open(
+        &mut self,
+        e: usize,
+        s: usize,
+        open: Box<OpenAttempt>,
+        waiting: QueuedRequest,
+    ) {
         let link = self.links[e][s].at_entry;
         let (run, number) = (self.entries[e].run, waiting.request);
         let request = self.entries[e].requests.get_mut(&number);
@@ -24,10 +30,10 @@
         let source = request.source;
         self.sources[source].waiting -= 1;
         let at = self.now + self.delay();
-        if begin.repeatable {
-            let attempt = begin.attempt;
+        if open.repeatable {
+            let attempt = open.attempt;
             self.set_stage(e, number, Stage::Running { attempt, s, link });
-            self.schedule(at, Event::Open { e, s, link, begin });
+            self.schedule(at, Event::Open { e, s, link, open });
         } else {
             self.set_stage(e, number, Stage::Intent);
             self.schedule(
@@ -37,7 +43,7 @@
                     run,
                     s,
                     link,
-                    begin,
+                    open,
                 },
             );
         }
@@ -49,9 +55,9 @@
         run: Incarnation,
         s: usize,
         link: u64,
-        begin: Box<Begin>,
+        open: Box<OpenAttempt>,
     ) {
-        let attempt = begin.attempt;
+        let attempt = open.attempt;
         if self.entries[e].run != run {
             return;
         }
@@ -61,24 +67,24 @@
         }
         self.set_stage(e, attempt.request, Stage::Running { attempt, s, link });
         let at = self.now + self.delay();
-        self.schedule(at, Event::Open { e, s, link, begin });
+        self.schedule(at, Event::Open { e, s, link, open });
     }
 
-    pub(super) fn on_open(&mut self, e: usize, s: usize, link: u64, begin: &Begin) {
+    pub(super) fn on_open(&mut self, e: usize, s: usize, link: u64, open: &OpenAttempt) {
         if self.links[e][s].cut || self.links[e][s].at_sidecar != link {
             return;
         }
-        let (now, attempt) = (self.now, begin.attempt);
+        let (now, attempt) = (self.now, open.attempt);
         let from = self.entries[e].host.clone();
         self.traffic.opened += 1;
-        let mut outcome = self.sidecars[s].core.try_start(now, &from, begin);
+        let mut outcome = self.sidecars[s].core.try_start(now, &from, open);
         if outcome.is_ok() && self.rng.random_bool(self.options.unreachable) {
             let core = &mut self.sidecars[s].core;
             core.finish(now, attempt, ServiceUnits(0), RunOutcome::NotReached);
             outcome = Err(NotStartedReason::NotReached);
         }
         match outcome {
-            Ok(upstream) => self.start(e, s, link, begin, &upstream),
+            Ok(upstream) => self.start(e, s, link, open, &upstream),
             Err(reason) => {
                 self.traffic.not_started += 1;
                 let at = now + self.delay();
@@ -96,15 +102,12 @@
         self.run_sidecar(s);
     }
 
-    fn start(&mut self, e: usize, s: usize, link: u64, begin: &Begin, upstream: &UpstreamName) {
-        let (now, attempt) = (self.now, begin.attempt);
+    fn start(&mut self, e: usize, s: usize, link: u64, open: &OpenAttempt, name: &UpstreamName) {
+        let (now, attempt) = (self.now, open.attempt);
         let engine = &mut self.sidecars[s].engine;
-        assert_eq!((&engine.name, &engine.announced), (upstream, &begin.pool));
+        assert_eq!((&engine.name, &engine.announced), (name, &open.pool));
         for since in [engine.leaving, engine.silent].into_iter().flatten() {
-            assert!(
-                now < since + Duration::from_secs(3),
-                "new work for {upstream}"
-            );
+            assert!(now < since + Duration::from_secs(3), "new work for {name}");
         }
         self.log.start(now, attempt);
         let record = &self.log.records[attempt.request as usize];
@@ -250,14 +253,14 @@
         }
     }
 
-    pub(super) fn begin_message(
+    pub(super) fn open_message(
         &self,
         e: usize,
         attempt: AttemptId,
         sidecar: Incarnation,
-        cause: BeginCause,
+        cause: OpenCause,
         waiting: &QueuedRequest,
-    ) -> Box<Begin> {
+    ) -> Box<OpenAttempt> {
         let suspect = self.entries[e]
             .requests
             .get(&waiting.request)
@@ -269,7 +272,7 @@
         };
         let mut content = [0; 32];
         content[..8].copy_from_slice(&waiting.request.to_be_bytes());
-        Box::new(Begin {
+        Box::new(OpenAttempt {
             attempt,
             cause,
             account: waiting.account.clone(),
--- a/crates/router/tests/late_binding/sim/events.rs
+++ b/crates/router/tests/late_binding/sim/events.rs
@@ -4,7 +4,7 @@
 
 use coltsfootnotch_router::{EntryAction, SidecarAction};
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{AttemptId, Begin, FromSidecar, Message, NotStartedReason, ToSidecar};
+use coltsfootnotch_wire::{NotStartedReason, prelude::*};
 use rand::Rng;
 
 use super::entry::domain;
@@ -43,13 +43,13 @@
         run: Incarnation,
         s: usize,
         link: u64,
-        begin: Box<Begin>,
+        open: Box<OpenAttempt>,
     },
     Open {
         e: usize,
         s: usize,
         link: u64,
-        begin: Box<Begin>,
+        open: Box<OpenAttempt>,
     },
     NotStarted {
         e: usize,
@@ -150,11 +150,11 @@
                 run,
                 s,
                 link,
-                begin,
+                open,
             } => {
-                self.on_committed(e, run, s, link, begin);
+                self.on_committed(e, run, s, link, open);
             }
-            Event::Open { e, s, link, begin } => self.on_open(e, s, link, &begin),
+            Event::Open { e, s, link, open } => self.on_open(e, s, link, &open),
             Event::NotStarted {
                 e,
                 link,
@@ -254,8 +254,8 @@
                     waiting,
                 } => {
                     let s = host_index(&to);
-                    let begin = self.begin_message(e, attempt, sidecar, cause, &waiting);
-                    self.open(e, s, begin, waiting);
+                    let open = self.open_message(e, attempt, sidecar, cause, &waiting);
+                    self.open(e, s, open, waiting);
                 }
                 EntryAction::Expired { waiting } => {
                     let request = self.entries[e].requests.remove(&waiting.request);
--- a/crates/wire/src/attempt.rs
+++ b/crates/wire/src/attempt.rs
@@ -56,7 +56,7 @@
 
 /// Why an attempt is opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BeginCause {
+pub enum OpenCause {
     /// The entry believes that the sidecar has a free slot.
     Offer,
     /// The sidecar has pulled a request and reserved a slot for it.
@@ -73,11 +73,11 @@
 
 /// The first frame of an attempt's stream, from entry to sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Begin {
+pub struct OpenAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// Why it is opened.
-    pub cause: BeginCause,
+    pub cause: OpenCause,
     /// The account that sent the request.
     pub account: AccountName,
     /// The pool that serves it.
@@ -130,7 +130,7 @@
 pub enum FailReason {
     /// The upstream closed the connection before the end of the response.
     #[display("upstream broke off")]
-    UpstreamBroke,
+    UpstreamAborted,
     /// The upstream did not respond in time.
     #[display("upstream timed out")]
     UpstreamTimeout,
@@ -139,7 +139,7 @@
     Cancelled,
     /// The sidecar no longer buffers the chunks from which to resume.
     #[display("pieces no longer held")]
-    PiecesGone,
+    ChunksDiscarded,
 }
 
 /// Tokens and service that an attempt used.
@@ -180,7 +180,7 @@
         content_type: String,
     },
     /// A chunk of the response body.
-    Piece {
+    Chunk {
         /// The attempt.
         attempt: AttemptId,
         /// Sequence number, from zero, without gaps.
@@ -193,7 +193,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// Total number of chunks.
-        pieces: u64,
+        chunks: u64,
         /// Tokens and service that it used.
         usage: Usage,
     },
@@ -216,7 +216,7 @@
             Self::NotStarted { attempt, .. }
             | Self::Started { attempt, .. }
             | Self::Head { attempt, .. }
-            | Self::Piece { attempt, .. }
+            | Self::Chunk { attempt, .. }
             | Self::Done { attempt, .. }
             | Self::Failed { attempt, .. } => *attempt,
         }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -10,7 +10,7 @@
 const LENGTH_BYTES: usize = 4;
 
 /// A frame's body and the bytes that follow it; `None` while the frame is incomplete.
-pub type Split<'a> = Option<(&'a [u8], &'a [u8])>;
+pub type SplitFrame<'a> = Option<(&'a [u8], &'a [u8])>;
 
 /// Error of encoding or decoding a frame.
 #[derive(Debug, Display, Error, From)]
@@ -28,7 +28,7 @@
     /// The value is followed by more bytes.
     #[display("a frame has {len} trailing bytes")]
     #[from(skip)]
-    LeftOver {
+    TrailingBytes {
         /// Number of trailing bytes.
         len: usize,
     },
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// Returns [`CodecError::TooLarge`] as soon as the length is known, before the body is buffered.
-pub fn split_frame(buf: &[u8]) -> Result<Split<'_>, CodecError> {
+pub fn split_frame(buf: &[u8]) -> Result<SplitFrame<'_>, CodecError> {
     let Some((prefix, rest)) = buf.split_first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
@@ -78,12 +78,12 @@
 ///
 /// # Errors
 /// Returns [`CodecError::Body`] if the bytes are no value of the type, or
-/// [`CodecError::LeftOver`] if more bytes follow the value.
+/// [`CodecError::TrailingBytes`] if more bytes follow the value.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, CodecError> {
     let (value, rest) = postcard::take_from_bytes(body)?;
     if rest.is_empty() {
         Ok(value)
     } else {
-        Err(CodecError::LeftOver { len: rest.len() })
+        Err(CodecError::TrailingBytes { len: rest.len() })
     }
 }
--- a/crates/wire/src/crash.rs
+++ b/crates/wire/src/crash.rs
@@ -25,7 +25,7 @@
 
 /// A crash, and the requests that the upstream was running.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct UpstreamCrash {
     /// The crash.
     pub crash: CrashRef,
     /// The upstream.
--- a/crates/wire/src/late_binding.rs
+++ b/crates/wire/src/late_binding.rs
@@ -4,7 +4,7 @@
 use coltsfootnotch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::{AttemptId, ContentKey, CrashNews, CrashRef};
+use crate::{AttemptId, ContentKey, CrashRef, UpstreamCrash};
 
 /// Waiting requests of a client account in one pool at one entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
         changes: Vec<AccountWait>,
     },
     /// The entry has no request for a pull; the reserved slot is free again.
-    Nothing {
+    NoWork {
         /// Number of the pull.
         pull: u64,
     },
@@ -42,7 +42,7 @@
     },
     /// Prevents the dispatch of an attempt, and asks whether it was dispatched before. Resolves an
     /// attempt whose outcome is unknown.
-    Disown {
+    CloseAttempt {
         /// The attempt.
         attempt: AttemptId,
     },
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromSidecar {
     /// Free slots of a pool at this sidecar.
-    Free {
+    FreeSlots {
         /// The pool.
         pool: PoolName,
         /// Number of free slots, without reserved ones; zero if the sidecar is saturated.
@@ -72,7 +72,7 @@
         accounts: Vec<AccountName>,
     },
     /// An upstream has crashed.
-    Crashed(CrashNews),
+    Crashed(UpstreamCrash),
     /// A suspect has finished normally, so it did not cause these crashes.
     Cleared {
         /// The suspect.
@@ -80,12 +80,12 @@
         /// The crashes.
         crashes: Vec<CrashRef>,
     },
-    /// Answers [`ToSidecar::Disown`].
-    Disowned {
+    /// Response to [`ToSidecar::CloseAttempt`].
+    AttemptClosed {
         /// The attempt.
         attempt: AttemptId,
         /// Whether this incarnation has not dispatched it and never does.
-        never: bool,
+        never_dispatched: bool,
     },
     /// The sidecar no longer serves a pool: it has no upstream of it left, or is draining.
     NotServed {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A connection between two processes has one control stream of [`Message`] frames, in order, and a
 //! stream for each attempt, so that a slow response blocks no other. An attempt's stream starts
-//! with a [`Begin`] frame from the entry; the sidecar replies with [`AttemptReply`] frames. A frame
-//! is a length and a `postcard` body. Receivers check every message with
+//! with an [`OpenAttempt`] frame from the entry; the sidecar replies with [`AttemptReply`] frames.
+//! A frame is a length and a `postcard` body. Receivers check every message with
 //! [`Message::may_be_sent_by`] against the role in the peer's certificate before they handle it.
 
 pub mod announce;
@@ -18,10 +18,10 @@
 mod upstream;
 
 pub use attempt::{
-    AttemptId, AttemptReply, Begin, BeginCause, Call, FailReason, NotStartedReason, Run, Usage,
+    AttemptId, AttemptReply, Call, FailReason, NotStartedReason, OpenAttempt, OpenCause, Run, Usage,
 };
-pub use codec::{CodecError, MAX_FRAME_BYTES, Split, decode, encode, split_frame};
-pub use crash::{ContentKey, CrashNews, CrashRef};
+pub use codec::{CodecError, MAX_FRAME_BYTES, SplitFrame, decode, encode, split_frame};
+pub use crash::{ContentKey, CrashRef, UpstreamCrash};
 pub use directory::{HostRecord, ServedPool};
 pub use hello::{Hello, WIRE_VERSION};
 pub use late_binding::{AccountWait, FromSidecar, ToSidecar};
@@ -30,11 +30,13 @@
     ConfigBody, FromRelay, Heartbeat, MembersError, ProposeError, ServiceBatch, ToRelay,
 };
 pub use upstream::{
-    AccountUse, BreakWord, LoadWord, PartUse, UpstreamSign, UpstreamStage, UpstreamUse,
-    UpstreamWord,
+    AbortRecord, AccountDemand, EntryLoadReport, SegmentRecord, UpstreamKeepAlive, UpstreamRecord,
+    UpstreamStage, UpstreamUsage,
 };
 
 /// Commonly used messages.
 pub mod prelude {
-    pub use crate::{AttemptId, AttemptReply, Begin, FromSidecar, Message, Run, ToSidecar, Usage};
+    pub use crate::{
+        AttemptId, AttemptReply, FromSidecar, Message, OpenAttempt, Run, ToSidecar, Usage,
+    };
 }
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -6,7 +6,7 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-use crate::{HostRecord, LoadWord, UpstreamSign, UpstreamWord};
+use crate::{EntryLoadReport, HostRecord, UpstreamKeepAlive, UpstreamRecord};
 
 /// Periodic report that a host is alive, with its directory record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -144,16 +144,16 @@
     Load {
         /// Whether the entry has selected this control host, which then sends it the load of the
         /// other entries.
-        follows: bool,
+        is_selected: bool,
         /// The report.
-        load: LoadWord,
+        load: EntryLoadReport,
     },
     /// Requests the number of the latest configuration, confirmed by a quorum.
     Lease {
         /// Request number, repeated in the response.
         id: u64,
         /// Number of the configuration in force at the host; zero if it has none.
-        have: u64,
+        current: u64,
     },
 }
 
@@ -171,7 +171,7 @@
         /// Hosts that are new or have changed.
         changed: Vec<HostRecord>,
         /// Hosts that were removed.
-        gone: Vec<HostName>,
+        removed: Vec<HostName>,
     },
     /// Acknowledges a [`ServiceBatch`].
     ServiceApplied {
@@ -181,7 +181,7 @@
     /// Total service of accounts at all other hosts.
     Totals {
         /// The accounts and the service that they received at other hosts.
-        elsewhere: Vec<(AccountName, ServiceUnits)>,
+        remote: Vec<(AccountName, ServiceUnits)>,
     },
     /// A newer configuration than the one in force at the host.
     Config(ConfigBody),
@@ -222,9 +222,9 @@
         outcome: Result<(), MembersError>,
     },
     /// Upstreams that are new or have changed; all live upstreams on a new connection.
-    Upstreams(Vec<UpstreamWord>),
+    Upstreams(Vec<UpstreamRecord>),
     /// Upstreams that are alive and have not changed.
-    UpstreamsAlive(Vec<UpstreamSign>),
+    UpstreamsAlive(Vec<UpstreamKeepAlive>),
     /// An upstream has announced that it leaves.
     UpstreamLeft {
         /// Its identifier.
@@ -233,11 +233,11 @@
         born_ms: Option<u64>,
     },
     /// Load that all other forwarding entries have sent to upstreams.
-    Fleet {
+    FleetLoad {
         /// Number of entries with a recent report, including the receiver.
         entries: u32,
         /// Sum of their reports, without the receiver's.
-        load: LoadWord,
+        load: EntryLoadReport,
     },
     /// Response to [`ToRelay::Lease`]; not sent while there is no quorum.
     Lease {
@@ -251,7 +251,7 @@
     /// Fleet addresses of the control hosts that have a replicated log.
     ControlHosts {
         /// Whether the sender is one of them; if not, the message is a redirect.
-        keeps_log: bool,
+        has_log: bool,
         /// The addresses.
         addresses: Vec<SocketAddr>,
     },
--- a/crates/wire/src/upstream.rs
+++ b/crates/wire/src/upstream.rs
@@ -17,7 +17,7 @@
 
 /// What an upstream announced.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamWord {
+pub struct UpstreamRecord {
     /// Its identifier.
     pub id: String,
     /// Start time of its process by its own clock, in milliseconds since the Unix epoch.
@@ -38,9 +38,9 @@
     pub warming_ms: u32,
 }
 
-/// Keep-alive of an upstream whose [`UpstreamWord`] has not changed.
+/// Keep-alive of an upstream whose [`UpstreamRecord`] has not changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamSign {
+pub struct UpstreamKeepAlive {
     /// Its identifier.
     pub id: String,
     /// Start time of its process, in milliseconds since the Unix epoch.
@@ -51,7 +51,7 @@
 
 /// Requests of entries at one upstream, and its recent performance.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamUse {
+pub struct UpstreamUsage {
     /// The upstream.
     pub id: String,
     /// Prompt tokens of requests that have no first event yet.
@@ -61,7 +61,7 @@
     /// Estimated tokens that these requests occupy in its memory.
     pub held_tokens: u64,
     /// Total time to first event of requests since the last report, in milliseconds.
-    pub took_ms: u64,
+    pub elapsed_ms: u64,
     /// Total expected time to first event of the same requests, in milliseconds.
     pub expected_ms: u64,
     /// Requests that failed since the last report.
@@ -72,29 +72,29 @@
 
 /// Service of a client account since the last report, in service units.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AccountUse {
+pub struct AccountDemand {
     /// The account.
     pub account: String,
     /// Service that its requests asked for.
-    pub asked: u64,
+    pub requested: u64,
     /// Service of the requests that were sent to upstreams.
     pub admitted: u64,
 }
 
 /// A prompt segment that an upstream has cached.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartUse {
+pub struct SegmentRecord {
     /// The upstream.
     pub upstream: String,
     /// Digest of the segment.
-    pub part: u64,
+    pub segment: u64,
     /// Its length in tokens.
     pub tokens: u32,
 }
 
 /// An upstream closed the connection in the middle of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct BreakWord {
+pub struct AbortRecord {
     /// Digest of the request's content.
     pub content: u64,
     /// Digest of the upstream and its start time.
@@ -103,15 +103,15 @@
 
 /// Load that one or several entries have sent to upstreams.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadWord {
+pub struct EntryLoadReport {
     /// By upstream.
-    pub upstreams: Vec<UpstreamUse>,
+    pub upstreams: Vec<UpstreamUsage>,
     /// By client account.
-    pub accounts: Vec<AccountUse>,
+    pub accounts: Vec<AccountDemand>,
     /// Prompt segments that upstreams have cached since the last report.
-    pub parts: Vec<PartUse>,
+    pub segments: Vec<SegmentRecord>,
     /// Requests during which an upstream closed the connection, since the last report.
-    pub broken: Vec<BreakWord>,
+    pub aborts: Vec<AbortRecord>,
     /// Digests of contents that crashed an upstream, of which a request has succeeded since.
-    pub mended: Vec<u64>,
+    pub cleared: Vec<u64>,
 }
--- a/examples/embed_late_binding.rs
+++ b/examples/embed_late_binding.rs
@@ -14,7 +14,7 @@
     UpstreamUpdate,
 };
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{AttemptId, Begin, BeginCause, Call};
+use coltsfootnotch_wire::{AttemptId, Call, OpenAttempt, OpenCause};
 
 /// What each request turns out to cost.
 const COST: ServiceUnits = ServiceUnits(100);
@@ -157,8 +157,8 @@
                 waiting,
                 ..
             } => {
-                let begin = begin(attempt, sidecar, cause, &waiting);
-                match self.sidecar.try_start(now, &self.entry_host, &begin) {
+                let open = open_attempt(attempt, sidecar, cause, &waiting);
+                match self.sidecar.try_start(now, &self.entry_host, &open) {
                     Ok(_upstream) => {
                         // The upstream answers at once: without a first piece its window shrinks.
                         self.sidecar.on_first_chunk(now, attempt);
@@ -173,12 +173,12 @@
     }
 }
 
-fn begin(
+fn open_attempt(
     attempt: AttemptId,
     sidecar: Incarnation,
-    cause: BeginCause,
+    cause: OpenCause,
     waiting: &QueuedRequest,
-) -> Begin {
+) -> OpenAttempt {
     let call = Call {
         method: "POST".to_owned(),
         path: "/v1/chat/completions".to_owned(),
@@ -187,7 +187,7 @@
         body: vec![],
         stream: false,
     };
-    Begin {
+    OpenAttempt {
         attempt,
         cause,
         account: waiting.account.clone(),
--- a/src/coltsfootnotch/daemon/control/daemon/from_hosts.rs
+++ b/src/coltsfootnotch/daemon/control/daemon/from_hosts.rs
@@ -38,12 +38,12 @@
                 let body = LeaderRequest::Admit { host, replaces };
                 self.submit(now, Origin::Members(link, id), body);
             }
-            ToRelay::Load { follows, load } => {
+            ToRelay::Load { is_selected, load } => {
                 if let Some(seeded) = &mut self.seeded {
-                    seeded.entries.record_load(now, link, follows, load);
+                    seeded.entries.record_load(now, link, is_selected, load);
                 }
             }
-            ToRelay::Lease { id, have } => self.on_lease_query(now, link, id, have),
+            ToRelay::Lease { id, current } => self.on_lease_query(now, link, id, current),
             ToRelay::RemoveMember { id, host } => {
                 self.submit(
                     now,
--- a/src/coltsfootnotch/daemon/control/host_feed.rs
+++ b/src/coltsfootnotch/daemon/control/host_feed.rs
@@ -113,21 +113,21 @@
             // Before the relay has settled, a missing host may not have sent a heartbeat yet.
             full: delta.from == 0 && delta.settled,
             changed: delta.upserts.iter().filter_map(record).collect(),
-            gone: delta.removed,
+            removed: delta.removed,
         })
     }
 
     /// Changed totals of watched accounts, without the host's own service, which it counts itself.
     pub(super) fn next_totals(&mut self, sums: &RelaySums) -> Option<FromRelay> {
-        let mut elsewhere = Vec::new();
+        let mut remote = Vec::new();
         for (account, total) in self.sums.next(sums) {
             let local = self.watched.get(&account).copied().unwrap_or_default();
             let others = ServiceUnits(total.0.saturating_sub(local.0));
             if self.sent_totals.insert(account.clone(), others) != Some(others) {
-                elsewhere.push((account, others));
+                remote.push((account, others));
             }
         }
-        (!elsewhere.is_empty()).then_some(FromRelay::Totals { elsewhere })
+        (!remote.is_empty()).then_some(FromRelay::Totals { remote })
     }
 
     /// How to send the configuration `number` now, if it is due; records that it was sent.
--- a/src/coltsfootnotch/daemon/control/seeded/entries.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/entries.rs
@@ -6,14 +6,14 @@
 use coltsfootnotch_fabric::LinkId;
 use coltsfootnotch_forward::load::FleetLoad;
 use coltsfootnotch_types::HostName;
-use coltsfootnotch_wire::{FromRelay, LoadWord};
+use coltsfootnotch_wire::{EntryLoadReport, FromRelay};
 
 /// A query whether a configuration is the newest.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::daemon::control) struct LeaseQuery {
     pub(in crate::daemon::control) link: LinkId,
     pub(in crate::daemon::control) id: u64,
-    pub(in crate::daemon::control) have: u64,
+    pub(in crate::daemon::control) current: u64,
 }
 
 /// A connected forwarding entry.
@@ -64,11 +64,11 @@
         &mut self,
         now: Duration,
         link: LinkId,
-        follows: bool,
-        load: LoadWord,
+        is_selected: bool,
+        load: EntryLoadReport,
     ) {
         self.fleet.record(now, link, load);
-        if follows {
+        if is_selected {
             self.subscribers.insert(link);
         } else {
             self.subscribers.remove(&link);
@@ -90,7 +90,7 @@
         for link in &self.subscribers {
             let load = self.fleet.excluding(now, &totals, link);
             sent += load.upstreams.len();
-            send(*link, FromRelay::Fleet { entries, load });
+            send(*link, FromRelay::FleetLoad { entries, load });
         }
         self.fleet.start_period(now);
         sent
@@ -99,7 +99,7 @@
     /// Queues a query; returns whether the caller has to start a read.
     pub(in crate::daemon::control) fn queue_query(&mut self, query: LeaseQuery) -> bool {
         if let Some(entry) = self.links.get_mut(&query.link) {
-            entry.config = query.have;
+            entry.config = query.current;
         }
         self.queued.push(query);
         self.start_read()
--- a/src/coltsfootnotch/daemon/control/seeded/handlers.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/handlers.rs
@@ -253,12 +253,12 @@
         now: Duration,
         link: LinkId,
         id: u64,
-        have: u64,
+        current: u64,
     ) {
         let Some(seeded) = &mut self.seeded else {
             return;
         };
-        if seeded.entries.queue_query(LeaseQuery { link, id, have }) {
+        if seeded.entries.queue_query(LeaseQuery { link, id, current }) {
             self.submit(now, Origin::Leases, LeaderRequest::Read);
         }
     }
@@ -280,10 +280,10 @@
 
     fn respond_to_leases(&self, queries: &[LeaseQuery]) {
         let number = self.replica.machine().config().number();
-        for query in queries {
-            let newer = (query.have < number).then(|| self.config_body()).flatten();
-            let id = query.id;
-            self.send_to_host(query.link, FromRelay::Lease { id, number, newer });
+        for req in queries {
+            let newer = (req.current < number).then(|| self.config_body()).flatten();
+            let id = req.id;
+            self.send_to_host(req.link, FromRelay::Lease { id, number, newer });
         }
     }
 }
--- a/src/coltsfootnotch/daemon/control/seeded/mod.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/mod.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use coltsfootnotch_forward::registry::UpstreamRegistry;
-use coltsfootnotch_wire::{FromRelay, UpstreamSign};
+use coltsfootnotch_wire::{FromRelay, UpstreamKeepAlive};
 use serde::{Deserialize, Serialize};
 
 use self::bootstrap::SeededBootstrap;
@@ -64,7 +64,7 @@
     pub(super) connectivity: Connectivity,
     pub(super) load_due: Duration,
     /// Liveness signs of unchanged upstreams since the last broadcast to entries.
-    pub(super) alive: Vec<UpstreamSign>,
+    pub(super) alive: Vec<UpstreamKeepAlive>,
     pub(super) alive_due: Duration,
 }
 
@@ -87,7 +87,7 @@
     /// Addresses of the control hosts that have a log, for forwarding entries.
     pub(super) fn control_hosts(&self) -> FromRelay {
         FromRelay::ControlHosts {
-            keeps_log: self.discovery.has_log(),
+            has_log: self.discovery.has_log(),
             addresses: self.discovery.log_hosts(),
         }
     }
--- a/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
@@ -4,7 +4,7 @@
 
 use coltsfootnotch_fabric::LinkId;
 use coltsfootnotch_forward::registry::{Announcement, RegistryUpdate};
-use coltsfootnotch_wire::{FromRelay, UpstreamSign, UpstreamWord};
+use coltsfootnotch_wire::{FromRelay, UpstreamKeepAlive, UpstreamRecord};
 
 use super::Seeded;
 use crate::daemon::control::daemon::ControlDaemon;
@@ -36,7 +36,7 @@
         let Some(seeded) = &mut self.seeded else {
             return;
         };
-        let report = UpstreamWord::from(&announcement);
+        let report = UpstreamRecord::from(&announcement);
         let update = seeded.registry.apply(now, announcement);
         if update == RegistryUpdate::Changed {
             self.log_upstream(&report);
@@ -47,7 +47,7 @@
             }
             RegistryUpdate::Refreshed => {
                 if let Some(seeded) = &mut self.seeded {
-                    seeded.alive.push(UpstreamSign {
+                    seeded.alive.push(UpstreamKeepAlive {
                         id: report.id,
                         born_ms: report.born_ms,
                         sequence: report.sequence,
@@ -156,7 +156,7 @@
         }
     }
 
-    fn log_upstream(&self, report: &UpstreamWord) {
+    fn log_upstream(&self, report: &UpstreamRecord) {
         let event = match report.stage {
             coltsfootnotch_wire::UpstreamStage::Ready => &events::UPSTREAM_ANNOUNCED,
             _ => &events::UPSTREAM_LEAVING,
@@ -174,7 +174,7 @@
     }
 }
 
-fn upstream_reports(seeded: &Seeded) -> Vec<UpstreamWord> {
+fn upstream_reports(seeded: &Seeded) -> Vec<UpstreamRecord> {
     let all = seeded.registry.all();
-    all.map(|u| UpstreamWord::from(&u.announcement)).collect()
+    all.map(|u| UpstreamRecord::from(&u.announcement)).collect()
 }
--- a/src/coltsfootnotch/daemon/entry/actor.rs
+++ b/src/coltsfootnotch/daemon/entry/actor.rs
@@ -262,7 +262,10 @@
                 self.suspects.on_crash(now, crash);
             }
             FromSidecar::Cleared { key, crashes } => self.suspects.on_cleared(now, &key, &crashes),
-            FromSidecar::Disowned { attempt, never } => self.on_disowned(host, attempt, never),
+            FromSidecar::AttemptClosed {
+                attempt,
+                never_dispatched,
+            } => self.on_attempt_closed(host, attempt, never_dispatched),
             message => self.core.on_message(now, host, message),
         }
     }
--- a/src/coltsfootnotch/daemon/entry/attempt_task.rs
+++ b/src/coltsfootnotch/daemon/entry/attempt_task.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use coltsfootnotch_fabric::{AttemptStream, LinkTx, read_frame, write_frame};
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{AttemptReply, Begin, BeginCause, FailReason, Usage};
+use coltsfootnotch_wire::{AttemptReply, FailReason, OpenAttempt, OpenCause, Usage};
 use metrics::Histogram;
 use tokio::sync::{mpsc, watch};
 
@@ -25,7 +25,7 @@
 /// State of one attempt.
 pub(super) struct AttemptTask {
     pub(super) cx: HostCx,
-    pub(super) begin: Begin,
+    pub(super) open: OpenAttempt,
     pub(super) link: LinkWatch,
     pub(super) response: mpsc::Sender<ResponsePart>,
     /// Whether chunks are streamed to the caller; otherwise the response is collected.
@@ -71,7 +71,7 @@
         let link = self.current_link()?;
         let mut stream = link.open().await.ok()?;
         // A failed write may still have reached the sidecar, which the read then shows.
-        let _sent = write_frame(&mut stream.send, &self.begin).await;
+        let _sent = write_frame(&mut stream.send, &self.open).await;
         Some(stream)
     }
 
@@ -79,7 +79,7 @@
     fn current_link(&self) -> Option<LinkTx> {
         let link = self.link.borrow();
         let (incarnation, tx) = link.as_ref()?;
-        (*incarnation == self.begin.sidecar).then(|| tx.clone())
+        (*incarnation == self.open.sidecar).then(|| tx.clone())
     }
 
     async fn resume(&mut self) -> Option<AttemptStream> {
@@ -90,10 +90,10 @@
     }
 
     async fn reopen(&mut self) -> Option<AttemptStream> {
-        self.begin.cause = BeginCause::Resume {
+        self.open.cause = OpenCause::Resume {
             from: self.next_seq,
         };
-        self.begin.call.body.clear();
+        self.open.call.body.clear();
         loop {
             // The watch may report a broken link as up until its loss is detected.
             self.link.changed().await.ok()?;
@@ -101,7 +101,7 @@
                 .link
                 .borrow()
                 .as_ref()
-                .is_some_and(|(run, _)| *run != self.begin.sidecar)
+                .is_some_and(|(run, _)| *run != self.open.sidecar)
             {
                 return None;
             }
@@ -124,7 +124,7 @@
     }
 
     async fn on_reply(&mut self, message: AttemptReply) -> Step {
-        if message.attempt() != self.begin.attempt {
+        if message.attempt() != self.open.attempt {
             self.record_dropped_chunk("crossed");
             return Step::Continue;
         }
@@ -141,8 +141,8 @@
                 content_type,
                 ..
             } => self.on_head(status, content_type).await,
-            AttemptReply::Piece { seq, data, .. } => self.on_chunk(seq, data).await,
-            AttemptReply::Done { pieces, usage, .. } if pieces == self.next_seq => {
+            AttemptReply::Chunk { seq, data, .. } => self.on_chunk(seq, data).await,
+            AttemptReply::Done { chunks, usage, .. } if chunks == self.next_seq => {
                 self.on_done(usage).await
             }
             // Chunks are missing, so the response must not count as complete.
@@ -225,7 +225,7 @@
 
     fn collect(&mut self, data: &[u8]) -> Step {
         if self.collected.body.len() + data.len() > MAX_COLLECTED_BYTES {
-            let reason = FailReason::UpstreamBroke;
+            let reason = FailReason::UpstreamAborted;
             let upstream = self.upstream.take();
             return Step::Finished(AttemptResult::Failed {
                 reason,
@@ -249,7 +249,7 @@
             .metrics
             .counter("dropped_pieces", &[("how", how)])
             .increment(1);
-        let attempt = self.begin.attempt;
+        let attempt = self.open.attempt;
         self.cx.log(
             &events::ANSWER_DROPPED,
             &[("attempt", &attempt), ("how", &how)],
--- a/src/coltsfootnotch/daemon/entry/attempts.rs
+++ b/src/coltsfootnotch/daemon/entry/attempts.rs
@@ -6,7 +6,7 @@
 use coltsfootnotch_state::{ClosedBy, Outcome, ProcessId, RecordedBody};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{
-    AttemptId, Begin, BeginCause, FailReason, NotStartedReason, Run, ToSidecar, Usage,
+    AttemptId, FailReason, NotStartedReason, OpenAttempt, OpenCause, Run, ToSidecar, Usage,
 };
 
 use super::ResponsePart;
@@ -51,9 +51,8 @@
     /// Releases a chosen slot that is not used.
     pub(super) fn release_slot(&mut self, chosen: &ChosenSlot) {
         self.core.on_attempt_ended(&chosen.queued.account);
-        if let BeginCause::Pull { pull } = chosen.cause {
-            self.sidecars
-                .send(&chosen.host, ToSidecar::Nothing { pull });
+        if let OpenCause::Pull { pull } = chosen.cause {
+            self.sidecars.send(&chosen.host, ToSidecar::NoWork { pull });
         }
     }
 
@@ -75,7 +74,7 @@
         let req = &active.req;
         let now = self.cx.now();
         let remaining = req.deadline.saturating_sub(now);
-        let begin = Begin {
+        let open = OpenAttempt {
             attempt: chosen.attempt,
             cause: chosen.cause,
             account: req.account.clone(),
@@ -90,7 +89,7 @@
         };
         let task = AttemptTask {
             cx: self.cx.clone(),
-            begin,
+            open,
             link,
             response: req.response.clone(),
             stream: req.call.stream,
@@ -149,8 +148,8 @@
                 );
                 let kind = match reason {
                     FailReason::UpstreamTimeout => RefusalKind::UpstreamTimeout,
-                    FailReason::PiecesGone => RefusalKind::ConnectionLost,
-                    FailReason::UpstreamBroke | FailReason::Cancelled => {
+                    FailReason::ChunksDiscarded => RefusalKind::ConnectionLost,
+                    FailReason::UpstreamAborted | FailReason::Cancelled => {
                         RefusalKind::UpstreamFailed
                     }
                 };
--- a/src/coltsfootnotch/daemon/entry/crash_suspects.rs
+++ b/src/coltsfootnotch/daemon/entry/crash_suspects.rs
@@ -7,7 +7,7 @@
     SuspectKey,
 };
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{ContentKey, CrashNews, CrashRef};
+use coltsfootnotch_wire::{ContentKey, CrashRef, UpstreamCrash};
 
 use super::ClientRequest;
 
@@ -25,7 +25,7 @@
     }
 
     /// Merges the crash report of a sidecar.
-    pub(super) fn on_crash(&mut self, now: Duration, crash: CrashNews) {
+    pub(super) fn on_crash(&mut self, now: Duration, crash: UpstreamCrash) {
         let report = CrashReport {
             id: crash_id(&crash.crash),
             upstream: crash.upstream,
--- a/src/coltsfootnotch/daemon/entry/requests.rs
+++ b/src/coltsfootnotch/daemon/entry/requests.rs
@@ -7,7 +7,7 @@
 use coltsfootnotch_router::QueuedRequest;
 use coltsfootnotch_state::ProcessId;
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{AttemptId, BeginCause, Run};
+use coltsfootnotch_wire::{AttemptId, OpenCause, Run};
 use tokio::task::AbortHandle;
 
 use super::ClientRequest;
@@ -19,7 +19,7 @@
     pub(super) attempt: AttemptId,
     pub(super) host: HostName,
     pub(super) sidecar: Incarnation,
-    pub(super) cause: BeginCause,
+    pub(super) cause: OpenCause,
     pub(super) queued: QueuedRequest,
 }
 
--- a/src/coltsfootnotch/daemon/entry/unresolved.rs
+++ b/src/coltsfootnotch/daemon/entry/unresolved.rs
@@ -58,14 +58,19 @@
         self.set_stage(request, Stage::Resolving(Box::new(unresolved)));
         if reachable {
             self.sidecars
-                .send(&sidecar.host, ToSidecar::Disown { attempt });
+                .send(&sidecar.host, ToSidecar::CloseAttempt { attempt });
         } else {
             self.reread(request);
         }
     }
 
     /// Handles the reply of a sidecar; `never` means that it won't dispatch the attempt.
-    pub(super) fn on_disowned(&mut self, from: &HostName, attempt: AttemptId, never: bool) {
+    pub(super) fn on_attempt_closed(
+        &mut self,
+        from: &HostName,
+        attempt: AttemptId,
+        never_dispatched: bool,
+    ) {
         let of_attempt = |unresolved: &UnresolvedAttempt| {
             unresolved.earlier == attempt && unresolved.sidecar.host == *from
         };
@@ -76,7 +81,7 @@
             .map(|(request, _)| request)
             .collect();
         for request in requests {
-            if never {
+            if never_dispatched {
                 self.close_earlier(request);
             } else {
                 self.reread(request);
--- a/src/coltsfootnotch/daemon/forward/actor/control_messages.rs
+++ b/src/coltsfootnotch/daemon/forward/actor/control_messages.rs
@@ -6,7 +6,7 @@
 use coltsfootnotch_fabric::{Event, LinkId};
 use coltsfootnotch_forward::config::ForwardConfig;
 use coltsfootnotch_forward::registry::{Announcement, RegistryUpdate};
-use coltsfootnotch_wire::{ConfigBody, FromRelay, Message, UpstreamWord};
+use coltsfootnotch_wire::{ConfigBody, FromRelay, Message, UpstreamRecord};
 
 use super::ForwardActor;
 use crate::util::events;
@@ -62,7 +62,7 @@
                 self.state.registry.mark_left(now, &id, born_ms);
                 self.cx.log(&events::UPSTREAM_LEAVING, &[("upstream", &id)]);
             }
-            FromRelay::Fleet { entries, load } => {
+            FromRelay::FleetLoad { entries, load } => {
                 let config = self.config.borrow().clone();
                 self.state
                     .apply_remote(now, entries, &load, config.as_deref());
@@ -77,12 +77,9 @@
                 }
             }
             FromRelay::Config(body) => self.apply_config(&body),
-            FromRelay::ControlHosts {
-                keeps_log,
-                addresses,
-            } => {
+            FromRelay::ControlHosts { has_log, addresses } => {
                 self.links.add_reported(&self.endpoint, &addresses);
-                if !keeps_log {
+                if !has_log {
                     self.links.exclude(link);
                 }
             }
@@ -98,7 +95,7 @@
         }
     }
 
-    fn apply_announcements(&mut self, now: Duration, records: Vec<UpstreamWord>) {
+    fn apply_announcements(&mut self, now: Duration, records: Vec<UpstreamRecord>) {
         if !records.is_empty() {
             self.last_upstream_update = now;
         }
--- a/src/coltsfootnotch/daemon/forward/actor/maintenance.rs
+++ b/src/coltsfootnotch/daemon/forward/actor/maintenance.rs
@@ -31,7 +31,7 @@
         let load = self.state.report();
         self.load_for_others.record(now, Local, load.clone());
         self.links.send_to_selected(ToRelay::Load {
-            follows: true,
+            is_selected: true,
             load,
         });
         if self.reports.is_multiple_of(REPORTS_PER_BROADCAST) {
@@ -39,7 +39,7 @@
             let load = self.load_for_others.excluding(now, &totals, &Nobody);
             self.load_for_others.start_period(now);
             self.links.send_to_others(&ToRelay::Load {
-                follows: false,
+                is_selected: false,
                 load,
             });
         }
--- a/src/coltsfootnotch/daemon/forward/control_links.rs
+++ b/src/coltsfootnotch/daemon/forward/control_links.rs
@@ -120,7 +120,7 @@
     }
 
     /// Requests a lease of the configuration with the number `have`, when due.
-    pub(super) fn request_lease(&mut self, now: Duration, have: u64) {
+    pub(super) fn request_lease(&mut self, now: Duration, current: u64) {
         if let Some(pending) = &self.pending
             && now >= pending.sent_at + REQUEST_TIMEOUT
         {
@@ -137,7 +137,7 @@
         let id = self.last_id;
         self.pending = Some(PendingRequest { id, sent_at: now });
         self.request_due = now + REQUEST_INTERVAL;
-        self.send(link, ToRelay::Lease { id, have });
+        self.send(link, ToRelay::Lease { id, current });
     }
 
     /// Handles the response to a lease request; returns when the request was sent, if it is the
--- a/src/coltsfootnotch/daemon/forward/state.rs
+++ b/src/coltsfootnotch/daemon/forward/state.rs
@@ -14,7 +14,7 @@
 use coltsfootnotch_forward::registry::{Announcement, RegistryUpdate, Stage, UpstreamRegistry};
 use coltsfootnotch_forward::retry::{PoisonRequests, RetryBudget};
 use coltsfootnotch_forward::share::FairShares;
-use coltsfootnotch_wire::{BreakWord, LoadWord};
+use coltsfootnotch_wire::{AbortRecord, EntryLoadReport};
 
 use super::messages::{Outcome, PlaceRequest, PlacementError, StreamPause, Ticket};
 
@@ -280,7 +280,7 @@
     ) {
         if outcome == Outcome::Broken {
             let (content, run) = (ticket.content, run_digest(ticket));
-            self.poison.record_local(now, BreakWord { content, run });
+            self.poison.record_local(now, AbortRecord { content, run });
         }
         if outcome == Outcome::Completed {
             self.poison.record_local_success(ticket.content);
@@ -302,15 +302,15 @@
         &mut self,
         now: Duration,
         entries: u32,
-        load: &LoadWord,
+        load: &EntryLoadReport,
         config: Option<&ForwardConfig>,
     ) {
         self.entries = entries.max(1);
         self.shares.apply_remote(now, load);
-        for crash in &load.broken {
+        for crash in &load.aborts {
             self.poison.record(now, *crash);
         }
-        for content in &load.mended {
+        for content in &load.cleared {
             self.poison.record_success(*content);
         }
         let registry = &self.registry;
@@ -330,15 +330,15 @@
     }
 
     /// Load at this entry, and its changes since the last report.
-    pub(super) fn report(&mut self) -> LoadWord {
-        let (upstreams, parts) = self.loads.report();
-        let (broken, mended) = self.poison.report();
-        LoadWord {
+    pub(super) fn report(&mut self) -> EntryLoadReport {
+        let (upstreams, segments) = self.loads.report();
+        let (aborts, cleared) = self.poison.report();
+        EntryLoadReport {
             upstreams,
             accounts: self.shares.report(),
-            parts,
-            broken,
-            mended,
+            segments,
+            aborts,
+            cleared,
         }
     }
 
--- a/src/coltsfootnotch/daemon/relay_client.rs
+++ b/src/coltsfootnotch/daemon/relay_client.rs
@@ -208,10 +208,10 @@
                 version,
                 full,
                 changed,
-                gone,
-            } => Some(self.on_directory(relay, version, full, changed, gone)),
+                removed,
+            } => Some(self.on_directory(relay, version, full, changed, removed)),
             FromRelay::ServiceApplied { seq } => Some(RelayEvent::ServiceApplied(seq)),
-            FromRelay::Totals { elsewhere } => Some(RelayEvent::Totals(elsewhere)),
+            FromRelay::Totals { remote } => Some(RelayEvent::Totals(remote)),
             FromRelay::Proposed { id, reply } => {
                 self.record_quorum(reply.as_ref().err());
                 Some(RelayEvent::Proposed { id, reply })
@@ -235,7 +235,7 @@
             | FromRelay::Upstreams(_)
             | FromRelay::UpstreamsAlive(_)
             | FromRelay::UpstreamLeft { .. }
-            | FromRelay::Fleet { .. }
+            | FromRelay::FleetLoad { .. }
             | FromRelay::Lease { .. }
             | FromRelay::ControlHosts { .. } => None,
         }
--- a/src/coltsfootnotch/daemon/sidecar/actor.rs
+++ b/src/coltsfootnotch/daemon/sidecar/actor.rs
@@ -9,7 +9,9 @@
 use coltsfootnotch_router::{RunOutcome, SidecarConfig as CoreConfig, SidecarCore};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::announce::Announcement;
-use coltsfootnotch_wire::{AttemptId, Begin, ContentKey, HostRecord, Message, ServedPool, Usage};
+use coltsfootnotch_wire::{
+    AttemptId, ContentKey, HostRecord, Message, OpenAttempt, ServedPool, Usage,
+};
 use stakker::sync::{Channel, ChannelGuard};
 use stakker::{CX, after, call, fwd_to, stop};
 
@@ -38,7 +40,7 @@
     Fabric(Event),
     AttemptOpened {
         peer: PeerId,
-        begin: Box<Begin>,
+        open: Box<OpenAttempt>,
         stream: AttemptStream,
     },
     Announcement(Box<Announcement>),
@@ -174,11 +176,9 @@
     fn on_msg(&mut self, stakker: CX![], msg: SidecarMsg) {
         match msg {
             SidecarMsg::Fabric(event) => self.on_fabric(event),
-            SidecarMsg::AttemptOpened {
-                peer,
-                begin,
-                stream,
-            } => self.on_attempt_opened(&peer, *begin, stream),
+            SidecarMsg::AttemptOpened { peer, open, stream } => {
+                self.on_attempt_opened(&peer, *open, stream);
+            }
             SidecarMsg::Announcement(announcement) => self.on_announcement(&announcement),
             SidecarMsg::FirstChunk { attempt } => self.on_first_chunk(attempt),
             SidecarMsg::Progress {
--- a/src/coltsfootnotch/daemon/sidecar/attempts.rs
+++ b/src/coltsfootnotch/daemon/sidecar/attempts.rs
@@ -10,8 +10,8 @@
 use coltsfootnotch_router::{RunOutcome, SidecarAction};
 use coltsfootnotch_types::prelude::*;
 use coltsfootnotch_wire::{
-    AttemptId, AttemptReply, Begin, BeginCause, ContentKey, FailReason, Message, NotStartedReason,
-    ToRelay, Usage,
+    AttemptId, AttemptReply, ContentKey, FailReason, Message, NotStartedReason, OpenAttempt,
+    OpenCause, ToRelay, Usage,
 };
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
@@ -28,21 +28,26 @@
 
 impl SidecarActor {
     /// Handles a stream on which an entry starts or resumes an attempt.
-    pub(super) fn on_attempt_opened(&mut self, peer: &PeerId, begin: Begin, stream: AttemptStream) {
-        if let BeginCause::Resume { from } = begin.cause {
-            return self.resume(begin.attempt, from, stream);
+    pub(super) fn on_attempt_opened(
+        &mut self,
+        peer: &PeerId,
+        open: OpenAttempt,
+        stream: AttemptStream,
+    ) {
+        if let OpenCause::Resume { from } = open.cause {
+            return self.resume(open.attempt, from, stream);
         }
         let now = self.cx.now();
-        match self.core.try_start(now, &peer.host, &begin) {
-            Ok(upstream) => self.run_attempt(begin, &upstream, stream),
-            Err(reason) => self.reply_not_started(begin.attempt, reason, stream),
+        match self.core.try_start(now, &peer.host, &open) {
+            Ok(upstream) => self.run_attempt(open, &upstream, stream),
+            Err(reason) => self.reply_not_started(open.attempt, reason, stream),
         }
     }
 
     fn resume(&mut self, attempt: AttemptId, from: u64, stream: AttemptStream) {
         let Some(runner) = self.attempts.get(&attempt) else {
             // Its chunks are lost, so whether it ran is unknown here.
-            let (reason, usage) = (FailReason::PiecesGone, Usage::default());
+            let (reason, usage) = (FailReason::ChunksDiscarded, Usage::default());
             return self.reply(
                 AttemptReply::Failed {
                     attempt,
@@ -80,8 +85,8 @@
         });
     }
 
-    fn run_attempt(&mut self, begin: Begin, upstream: &UpstreamName, stream: AttemptStream) {
-        let attempt = begin.attempt;
+    fn run_attempt(&mut self, open: OpenAttempt, upstream: &UpstreamName, stream: AttemptStream) {
+        let attempt = open.attempt;
         let Some(entry) = self.upstreams.get(upstream) else {
             let now = self.cx.now();
             self.core
@@ -98,19 +103,19 @@
             resume,
         };
         let call = UpstreamCall {
-            agent: self.clients.for_call(begin.repeatable),
+            agent: self.clients.for_call(open.repeatable),
             address: entry.address,
             attempt,
-            deadline: Duration::from_millis(begin.deadline_ms),
+            deadline: Duration::from_millis(open.deadline_ms),
             cancelled,
             parts: parts_tx,
             resume_from: 0,
-            call: begin.call,
+            call: open.call,
         };
         let runner = Runner {
             attempt,
             upstream: upstream.clone(),
-            cost: self.cost_of(&begin.pool, begin.estimate),
+            cost: self.cost_of(&open.pool, open.estimate),
             stream: Some(stream),
             parts,
             resume_requests,
@@ -182,7 +187,7 @@
                 let cancel = move || upstream_call::cancel(&agent, address, attempt);
                 self.cx.runtime.spawn_blocking(cancel);
             }
-            FailReason::UpstreamBroke => self.probe(upstream, address),
+            FailReason::UpstreamAborted => self.probe(upstream, address),
             _ => {}
         }
     }
--- a/src/coltsfootnotch/daemon/sidecar/runner.rs
+++ b/src/coltsfootnotch/daemon/sidecar/runner.rs
@@ -149,17 +149,17 @@
             }
             Some(ResponsePart::Done) => {
                 self.state.usage.service = self.service();
-                let (attempt, pieces, usage) =
+                let (attempt, chunks, usage) =
                     (self.attempt, self.state.next_seq, self.state.usage);
                 self.finish(AttemptReply::Done {
                     attempt,
-                    pieces,
+                    chunks,
                     usage,
                 })
                 .await;
             }
             Some(ResponsePart::Failed(reason)) => self.fail(reason).await,
-            None => self.fail(FailReason::UpstreamBroke).await,
+            None => self.fail(FailReason::UpstreamAborted).await,
         }
     }
 
@@ -181,7 +181,7 @@
         }
         let seq = self.state.next_seq;
         self.state.next_seq += 1;
-        self.send(&AttemptReply::Piece {
+        self.send(&AttemptReply::Chunk {
             attempt: self.attempt,
             seq,
             data: data.clone(),
@@ -257,7 +257,7 @@
             .map_or(self.state.next_seq, |(seq, _)| *seq);
         if request.from < first_buffered || request.from > self.state.next_seq {
             self.handle.cancelled.store(true, Ordering::Relaxed);
-            return self.fail(FailReason::PiecesGone).await;
+            return self.fail(FailReason::ChunksDiscarded).await;
         }
         self.send_start().await;
         let missed: Vec<_> = self
@@ -268,7 +268,7 @@
             .cloned()
             .collect();
         for (seq, data) in missed {
-            self.send(&AttemptReply::Piece {
+            self.send(&AttemptReply::Chunk {
                 attempt: self.attempt,
                 seq,
                 data,
--- a/src/coltsfootnotch/daemon/sidecar/sockets.rs
+++ b/src/coltsfootnotch/daemon/sidecar/sockets.rs
@@ -33,10 +33,10 @@
         } if peer.role == Role::Entry => {
             let tx = tx.clone();
             runtime.spawn(async move {
-                if let Ok(begin) = coltsfootnotch_fabric::read_frame(&mut stream.recv).await {
+                if let Ok(open) = coltsfootnotch_fabric::read_frame(&mut stream.recv).await {
                     tx.send(SidecarMsg::AttemptOpened {
                         peer,
-                        begin: Box::new(begin),
+                        open: Box::new(open),
                         stream,
                     });
                 }
--- a/src/coltsfootnotch/daemon/sidecar/upstream_call.rs
+++ b/src/coltsfootnotch/daemon/sidecar/upstream_call.rs
@@ -158,7 +158,7 @@
             }
             ureq::Error::Timeout(_) => ResponsePart::Failed(FailReason::UpstreamTimeout),
             _ if self.is_cancelled() => ResponsePart::Failed(FailReason::Cancelled),
-            _ => ResponsePart::Failed(FailReason::UpstreamBroke),
+            _ => ResponsePart::Failed(FailReason::UpstreamAborted),
         }
     }
 
@@ -204,12 +204,12 @@
                 return Ok(if is_complete {
                     ResponsePart::Done
                 } else {
-                    ResponsePart::Failed(FailReason::UpstreamBroke)
+                    ResponsePart::Failed(FailReason::UpstreamAborted)
                 });
             }
             let events = splitter
                 .push(&buf[..len])
-                .ok_or(ResponsePart::Failed(FailReason::UpstreamBroke))?;
+                .ok_or(ResponsePart::Failed(FailReason::UpstreamAborted))?;
             for event in events {
                 let kind = event.kind();
                 has_done_event |= kind == EventKind::Done;
@@ -244,7 +244,7 @@
             }
             body.extend_from_slice(&buf[..len]);
             if body.len() > MAX_RESPONSE_BYTES {
-                return Err(ResponsePart::Failed(FailReason::UpstreamBroke));
+                return Err(ResponsePart::Failed(FailReason::UpstreamAborted));
             }
         }
         if let Ok(CompleteResponse { usage: Some(usage) }) = serde_json::from_slice(&body) {
@@ -266,7 +266,7 @@
             std::io::ErrorKind::TimedOut | std::io::ErrorKind::WouldBlock => {
                 ResponsePart::Failed(FailReason::UpstreamTimeout)
             }
-            _ => ResponsePart::Failed(FailReason::UpstreamBroke),
+            _ => ResponsePart::Failed(FailReason::UpstreamAborted),
         })
     }
 }
--- a/tests/testsuite/control/hosts.rs
+++ b/tests/testsuite/control/hosts.rs
@@ -38,7 +38,7 @@
 fn next_total(client: &mut Client, expected: &str) -> ServiceUnits {
     let expected = account(expected);
     client.wait_for(|message| match message {
-        FromRelay::Totals { elsewhere } => elsewhere
+        FromRelay::Totals { remote } => remote
             .iter()
             .find(|(a, _)| *a == expected)
             .map(|(_, units)| *units),
