--- a/examples/embed_late_binding.rs
+++ b/examples/embed_late_binding.rs
@@ -14,7 +14,7 @@
     UpstreamUpdate,
 };
 use coltsfootnotch_types::prelude::*;
-use coltsfootnotch_wire::{AttemptId, Begin, BeginCause, Call};
+use coltsfootnotch_wire::{AttemptId, Call, OpenAttempt, OpenCause};
 
 /// Actual cost of each request.
 const COST: ServiceUnits = ServiceUnits(100);
@@ -162,8 +162,8 @@
                 waiting,
                 ..
             } => {
-                let begin = begin_message(attempt, sidecar, cause, &waiting);
-                match self.sidecar.try_start(now, &self.entry_host, &begin) {
+                let open = open_attempt(attempt, sidecar, cause, &waiting);
+                match self.sidecar.try_start(now, &self.entry_host, &open) {
                     Ok(_upstream) => {
                         // The upstream answers at once; without a first chunk its window shrinks.
                         self.sidecar.on_first_chunk(now, attempt);
@@ -178,12 +178,12 @@
     }
 }
 
-fn begin_message(
+fn open_attempt(
     attempt: AttemptId,
     sidecar: Incarnation,
-    cause: BeginCause,
+    cause: OpenCause,
     queued: &QueuedRequest,
-) -> Begin {
+) -> OpenAttempt {
     let call = Call {
         method: "POST".to_owned(),
         path: "/v1/chat/completions".to_owned(),
@@ -192,7 +192,7 @@
         body: vec![],
         stream: false,
     };
-    Begin {
+    OpenAttempt {
         attempt,
         cause,
         account: queued.account.clone(),
