--- a/crates/forward/src/registry/announcement.rs
+++ b/crates/forward/src/registry/announcement.rs
@@ -6,7 +6,7 @@
 
 use coltsfootnotch_wire::{UpstreamStage, UpstreamWord};
 
-/// Stage of an upstream's life.
+/// Stage of an upstream's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
     /// It accepts requests.
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -15,8 +15,8 @@
     pub from: u64,
     /// The version after applying the delta.
     pub to: u64,
-    /// Whether a full view lists every host: a relay that has just started has not heard from all
-    /// yet.
+    /// Whether a full view lists every host: a relay that has just started has not received
+    /// a heartbeat of each yet.
     pub settled: bool,
     /// Contacts that were added or have changed.
     pub upserts: Vec<Contact>,
--- a/crates/router/examples/where_work_waits/queue.rs
+++ b/crates/router/examples/where_work_waits/queue.rs
@@ -43,8 +43,8 @@
         let oldest = jobs.and_then(|jobs| jobs.front());
         let oldest = oldest.map_or(now, |job| arrived(*job));
         let count = jobs.map_or(0, VecDeque::len);
-        let waiting = Backlog::new(count as u32, oldest);
-        self.ledger.set_backlog(pool, account, waiting, now);
+        let backlog = Backlog::new(count as u32, oldest);
+        self.ledger.set_backlog(pool, account, backlog, now);
     }
 
     /// Adds the service since the last call to the totals.
@@ -58,11 +58,11 @@
     /// Merges the service of the other queues into the ledger.
     pub(crate) fn merge_totals(&mut self, totals: &BTreeMap<AccountName, ServiceUnits>) {
         let local = &self.reported;
-        let elsewhere = totals.iter().map(|(account, total)| {
+        let remote = totals.iter().map(|(account, total)| {
             let local = local.get(account).copied().unwrap_or_default();
             (account, ServiceUnits(total.0 - local.0))
         });
-        self.ledger.merge_remote(elsewhere);
+        self.ledger.merge_remote(remote);
     }
 }
 
--- a/crates/router/tests/late_binding/sim/periodic.rs
+++ b/crates/router/tests/late_binding/sim/periodic.rs
@@ -37,11 +37,11 @@
     pub(super) fn relay(&mut self) {
         for sidecar in self.sidecars.iter_mut().filter(|s| s.has_relay) {
             let reported = &sidecar.reported_service;
-            let elsewhere = self.totals.iter().map(|(account, total)| {
+            let remote = self.totals.iter().map(|(account, total)| {
                 let reported = reported.get(account).copied().unwrap_or_default();
                 (account, ServiceUnits(total.0.saturating_sub(reported.0)))
             });
-            sidecar.core.fair_ledger_mut().merge_remote(elsewhere);
+            sidecar.core.fair_ledger_mut().merge_remote(remote);
         }
         for sidecar in self.sidecars.iter_mut().filter(|s| s.has_relay) {
             for (account, units) in sidecar.core.fair_ledger_mut().take_unsent() {
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -38,7 +38,7 @@
 /// The response to a request.
 struct Answer {
     status: u16,
-    has_stamp: bool,
+    has_mark: bool,
     body: std::result::Result<String, String>,
 }
 
@@ -125,8 +125,8 @@
         } else {
             (Invariant::CorrectAnswer, format!("answer to {id}"))
         };
-        if !answer.has_stamp {
-            let what = format!("{id} gets a success without the stamp of an upstream");
+        if !answer.has_mark {
+            let what = format!("{id} gets a success without the mark of an upstream");
             self.recorder.report(Invariant::CorrectAnswer, what);
         }
         if *body != expected {
@@ -148,7 +148,7 @@
     let mut answer = req.send("a body").ok()?;
     Some(Answer {
         status: answer.status().as_u16(),
-        has_stamp: answer.headers().contains_key(RESPONSE_STAMP),
+        has_mark: answer.headers().contains_key(RESPONSE_STAMP),
         body: answer
             .body_mut()
             .read_to_string()
--- a/soak/src/upstream/response.rs
+++ b/soak/src/upstream/response.rs
@@ -89,8 +89,8 @@
     let is_stream = req.uri().path().starts_with("/stream/");
     // Only the completeness of the body matters.
     let _body = req.into_body().collect().await.map_err(|_| Aborted)?;
-    let stamp = format!("s.{id}");
-    let headers = [(RESPONSE_STAMP, stamp.as_str())];
+    let mark = format!("s.{id}");
+    let headers = [(RESPONSE_STAMP, mark.as_str())];
     if state.drops_answers && !is_stream {
         sleep(PROCESSING_TIME).await;
         return Err(Aborted);
--- a/src/coltsfootnotch/daemon/entry/actor.rs
+++ b/src/coltsfootnotch/daemon/entry/actor.rs
@@ -73,7 +73,7 @@
     config: watch::Sender<Option<Arc<ConfigIndex>>>,
     fleet_address: SocketAddr,
     client_connections: Arc<Connections>,
-    pub(super) life: Lifecycle,
+    pub(super) lifecycle: Lifecycle,
     _guard: ChannelGuard,
 }
 
@@ -82,18 +82,18 @@
         stakker: CX![],
         cx: HostCx,
         cfg: EntryConfig,
-        starter: StartReporter<StartedEntry>,
+        start_reporter: StartReporter<StartedEntry>,
     ) -> Option<Self> {
         let fwd = fwd_to!([stakker], on_msg() as (EntryMsg));
         let (tx, guard) = Channel::new(stakker, fwd);
         match Self::build(cx, cfg, tx, guard) {
             Ok((actor, ready)) => {
                 call!([stakker], tick());
-                starter.report(Ok(ready));
+                start_reporter.report(Ok(ready));
                 Some(actor)
             }
             Err(e) => {
-                starter.report(Err(e));
+                start_reporter.report(Err(e));
                 stop!(stakker);
                 None
             }
@@ -121,12 +121,12 @@
         let fleet_address = endpoint.address()?;
         let config = watch::Sender::new(None);
         let charts = Charts::load()?;
-        let life = Lifecycle::new(cx.clone(), &charts.daemon, cfg.shutdown);
+        let lifecycle = Lifecycle::new(cx.clone(), &charts.daemon, cfg.shutdown);
         let next_request_number = Arc::new(AtomicU64::new(0));
         let client_connections = Arc::<Connections>::default();
         let state = ListenerState {
             config: config.subscribe(),
-            ready: life.ready_flag(),
+            ready: lifecycle.ready_flag(),
             next_request_number: Arc::clone(&next_request_number),
             connections: Arc::clone(&client_connections),
         };
@@ -135,7 +135,7 @@
             tx: tx.clone(),
             http_address,
             fleet_address,
-            ready: life.ready_flag(),
+            ready: lifecycle.ready_flag(),
             traffic: endpoint.traffic(),
         };
         let actor = Self {
@@ -156,7 +156,7 @@
             config,
             fleet_address,
             client_connections,
-            life,
+            lifecycle,
             _guard: guard,
         };
         actor.cx.log(
@@ -197,7 +197,7 @@
             address: self.fleet_address,
             config: 0,
             pools: vec![],
-            leaving: self.life.is_stopping(),
+            leaving: self.lifecycle.is_stopping(),
         };
         self.relay
             .tick(&self.endpoint, |config| HostRecord { config, ..record });
@@ -334,7 +334,7 @@
             RelayEvent::Config(update) => {
                 self.core.set_running_limits(running_limits(&update.0));
                 self.config.send_replace(Some(update.0));
-                self.life.on_config_in_force();
+                self.lifecycle.on_config_in_force();
             }
             RelayEvent::Proposed { id, reply } => {
                 if let Some(result) = self.proposals.on_reply(self.cx.now(), id, reply) {
@@ -346,16 +346,16 @@
     }
 
     fn on_stop(&mut self) {
-        self.life.request_shutdown(self.requests.len());
+        self.lifecycle.request_shutdown(self.requests.len());
     }
 
     fn stop_if_drained(&mut self, stakker: CX![]) {
-        if self.life.is_stopping() && self.requests.len() == 0 {
+        if self.lifecycle.is_stopping() && self.requests.len() == 0 {
             self.client_connections.close();
         }
         // A connection counts until its caller has received the whole response.
         let in_progress = self.requests.len().max(self.client_connections.count());
-        if self.life.try_finish(in_progress) {
+        if self.lifecycle.try_finish(in_progress) {
             self.endpoint.close();
             stop!(stakker);
         }
--- a/src/coltsfootnotch/daemon/entry/admission.rs
+++ b/src/coltsfootnotch/daemon/entry/admission.rs
@@ -26,7 +26,7 @@
     /// Returns the refusal of a request that is not admitted; it has reached no upstream.
     pub(super) fn admission_refusal(&self, req: &ClientRequest) -> Option<Refusal> {
         let now = self.cx.now();
-        if self.life.is_stopping() {
+        if self.lifecycle.is_stopping() {
             return Some(Refusal::not_run(RefusalKind::NotReady).retry_after(DEFAULT_RETRY_AFTER));
         }
         if let RunPolicy::Refused { retry_after } = self.suspects.run_policy(now, req) {
--- a/src/coltsfootnotch/daemon/entry/handle.rs
+++ b/src/coltsfootnotch/daemon/entry/handle.rs
@@ -109,12 +109,12 @@
 /// # Errors
 /// Returns a [`StartError`] when an address can't be bound or the credentials can't be used.
 pub fn start(cx: HostCx, cfg: EntryConfig) -> Result<EntryHandle, StartError> {
-    let (starter, outcome) = StartReporter::new();
+    let (start_reporter, outcome) = StartReporter::new();
     let name = format!("entry-{}", cx.identity.host);
     let thread = event_loop::spawn(&name, move |stakker: &mut Stakker| {
         actor!(
             stakker,
-            EntryActor::init(cx, cfg, starter),
+            EntryActor::init(cx, cfg, start_reporter),
             ret_shutdown!(stakker)
         )
     })?;
--- a/src/coltsfootnotch/daemon/entry/queueing.rs
+++ b/src/coltsfootnotch/daemon/entry/queueing.rs
@@ -100,7 +100,7 @@
         let Some(active) = self.requests.remove(request) else {
             return;
         };
-        // A caller may send a request elsewhere that is refused as not run.
+        // A caller may retry a request on another host if it is refused as not run.
         let is_run_consistent = refusal.run != Run::No || active.run_status() == Run::No;
         assert!(
             is_run_consistent,
--- a/src/coltsfootnotch/daemon/entry/unresolved.rs
+++ b/src/coltsfootnotch/daemon/entry/unresolved.rs
@@ -3,7 +3,7 @@
 //! The sidecar run that was to dispatch the attempt is queried first. If it never will, the attempt
 //! is closed and the call starts again. If it did, or can't be reached, the reread call of the
 //! manifest looks up the result by the idempotency key, and the result is recorded as the outcome.
-//! Without a result the upstream may still be working on the call, so the caller is told that the
+//! Without a result the upstream may still be working on the call, so the response says that the
 //! outcome is unknown.
 
 use std::time::Duration;
--- a/src/coltsfootnotch/daemon/sidecar/actor.rs
+++ b/src/coltsfootnotch/daemon/sidecar/actor.rs
@@ -86,7 +86,7 @@
     pub(super) tx: Channel<SidecarMsg>,
     endpoint: Endpoint,
     fleet_address: SocketAddr,
-    life: Lifecycle,
+    lifecycle: Lifecycle,
     _guard: ChannelGuard,
     _announce_server: AnnounceServer,
 }
@@ -96,18 +96,18 @@
         stakker: CX![],
         cx: HostCx,
         cfg: SidecarConfig,
-        starter: StartReporter<Started>,
+        start_reporter: StartReporter<Started>,
     ) -> Option<Self> {
         let fwd = fwd_to!([stakker], on_msg() as (SidecarMsg));
         let (tx, guard) = Channel::new(stakker, fwd);
         match Self::build(cx, cfg, tx, guard) {
             Ok((actor, started)) => {
                 call!([stakker], tick());
-                starter.report(Ok(started));
+                start_reporter.report(Ok(started));
                 Some(actor)
             }
             Err(e) => {
-                starter.report(Err(e));
+                start_reporter.report(Err(e));
                 stop!(stakker);
                 None
             }
@@ -132,12 +132,12 @@
         let fleet_address = endpoint.address()?;
         let (announce_address, announce_server) = start_announce_server(&cx, &cfg, &tx)?;
         let charts = Charts::load()?;
-        let life = Lifecycle::new(cx.clone(), &charts.daemon, cfg.shutdown);
+        let lifecycle = Lifecycle::new(cx.clone(), &charts.daemon, cfg.shutdown);
         let started = Started {
             tx: tx.clone(),
             announce_address,
             fleet_address,
-            ready: life.ready_flag(),
+            ready: lifecycle.ready_flag(),
             traffic: endpoint.traffic(),
         };
         let actor = Self {
@@ -160,7 +160,7 @@
             tx,
             endpoint,
             fleet_address,
-            life,
+            lifecycle,
             _guard: guard,
             _announce_server: announce_server,
         };
@@ -237,7 +237,7 @@
                 .into_iter()
                 .map(|(pool, upstreams)| ServedPool { pool, upstreams })
                 .collect(),
-            leaving: self.life.is_stopping(),
+            leaving: self.lifecycle.is_stopping(),
         }
     }
 
@@ -317,7 +317,7 @@
     fn on_relay_event(&mut self, event: RelayEvent) {
         match event {
             RelayEvent::Config(update) => {
-                self.life.on_config_in_force();
+                self.lifecycle.on_config_in_force();
                 for account in &update.0.manifest().accounts {
                     self.core
                         .fair_ledger_mut()
@@ -335,7 +335,7 @@
     }
 
     fn on_stop(&mut self) {
-        if !self.life.request_shutdown(self.core.running()) {
+        if !self.lifecycle.request_shutdown(self.core.running()) {
             return;
         }
         self.core.start_drain();
@@ -353,7 +353,7 @@
         if self.orders.is_releasing(self.cx.now()) {
             return;
         }
-        if self.life.try_finish(self.attempts.len()) {
+        if self.lifecycle.try_finish(self.attempts.len()) {
             self.endpoint.close();
             stop!(stakker);
         }
--- a/src/coltsfootnotch/daemon/sidecar/handle.rs
+++ b/src/coltsfootnotch/daemon/sidecar/handle.rs
@@ -76,12 +76,12 @@
 /// # Errors
 /// Returns a [`StartError`] when an address can't be bound or the credentials can't be used.
 pub fn start(cx: HostCx, cfg: SidecarConfig) -> Result<SidecarHandle, StartError> {
-    let (starter, outcome) = StartReporter::new();
+    let (start_reporter, outcome) = StartReporter::new();
     let name = format!("sidecar-{}", cx.identity.host);
     let thread = event_loop::spawn(&name, move |stakker: &mut Stakker| {
         actor!(
             stakker,
-            SidecarActor::init(cx, cfg, starter),
+            SidecarActor::init(cx, cfg, start_reporter),
             ret_shutdown!(stakker)
         )
     })?;
--- a/src/coltsfootnotch/daemon/sidecar/orders/engine.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/engine.rs
@@ -131,8 +131,8 @@
         leases.request(&self.lease, timing.order_lease_ttl);
         let fence = leases.fencing_number(&self.lease, cx.now)?;
         self.first_granted.get_or_insert(cx.now);
-        let guard = timing.guard(is_fenced);
-        if !self.is_report_current() || !leases.can_order(&self.lease, cx.now, guard) {
+        let fencing_mode = timing.fencing_mode(is_fenced);
+        if !self.is_report_current() || !leases.can_order(&self.lease, cx.now, fencing_mode) {
             return None;
         }
         if loads {
--- a/src/coltsfootnotch/daemon/sidecar/orders/lease_set.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/lease_set.rs
@@ -1,6 +1,6 @@
 //! Requests, renews and releases the leases of one sidecar through the relay.
 //!
-//! A wanted lease is requested until it is granted or held by another process, and renewed while it
+//! A needed lease is requested until it is granted or held by another process, and renewed while it
 //! is held. Each request has its own number, so the time to live counts from when that request was
 //! sent. A release is resent until it is answered, since a lost one delays the next holder.
 
@@ -32,7 +32,7 @@
 struct Entry {
     holder: LeaseHolder,
     ttl: Duration,
-    is_wanted: bool,
+    is_needed: bool,
     /// Fencing number of a lease that is released locally, but not yet in the log.
     releasing: Option<FencingNumber>,
     requested_at: Option<Duration>,
@@ -59,7 +59,7 @@
     /// Starts to request a lease, and to renew it once it is granted.
     pub(super) fn request(&mut self, lease: &LeaseName, ttl: Duration) {
         let entry = self.entry(lease);
-        entry.is_wanted = true;
+        entry.is_needed = true;
         entry.ttl = ttl;
     }
 
@@ -68,7 +68,7 @@
         let Some(entry) = self.leases.get_mut(lease) else {
             return;
         };
-        entry.is_wanted = false;
+        entry.is_needed = false;
         entry.is_refused = false;
         if let Some(number) = entry.holder.start_release() {
             entry.releasing = Some(number);
@@ -81,10 +81,15 @@
         self.leases.get(lease)?.holder.number(now)
     }
 
-    /// Whether an order may be sent under a lease to an engine protected by `guard`.
-    pub(super) fn can_order(&self, lease: &LeaseName, now: Duration, guard: FencingMode) -> bool {
+    /// Whether an order may be sent under a lease to an engine protected by `fencing_mode`.
+    pub(super) fn can_order(
+        &self,
+        lease: &LeaseName,
+        now: Duration,
+        fencing_mode: FencingMode,
+    ) -> bool {
         let entry = self.leases.get(lease);
-        entry.is_some_and(|entry| entry.holder.can_order(now, guard))
+        entry.is_some_and(|entry| entry.holder.can_order(now, fencing_mode))
     }
 
     /// Whether another process held the lease when it was last requested.
@@ -102,7 +107,7 @@
     pub(super) fn tick(&mut self, now: Duration, mut propose: impl FnMut(Vec<u8>) -> Option<u64>) {
         self.requests
             .retain(|_, request| now < request.sent_at + REQUEST_TTL);
-        self.remove_unwanted();
+        self.remove_unneeded();
         for (lease, entry) in &mut self.leases {
             let Some(op) = entry.due_op(&self.process, lease, now) else {
                 continue;
@@ -120,13 +125,13 @@
         }
     }
 
-    /// Removes leases that are neither wanted nor being released. A lease with a pending request is
+    /// Removes leases that are neither needed nor being released. A lease with a pending request is
     /// kept: a late reply from before the release must not count as a grant to a second holder.
-    fn remove_unwanted(&mut self) {
+    fn remove_unneeded(&mut self) {
         let requests = &self.requests;
         let is_pending = |lease: &LeaseName| requests.values().any(|r| r.lease == *lease);
         self.leases.retain(|lease, entry| {
-            entry.is_wanted || entry.releasing.is_some() || is_pending(lease)
+            entry.is_needed || entry.releasing.is_some() || is_pending(lease)
         });
     }
 
@@ -163,7 +168,7 @@
         }
         entry.holder.on_reply(request.sent_at, now, reply);
         // The grant arrived after the local release, so it must be released in the log.
-        if !entry.is_wanted
+        if !entry.is_needed
             && let Some(number) = entry.holder.start_release()
         {
             entry.releasing = Some(number);
@@ -175,7 +180,7 @@
         let new_entry = || Entry {
             holder: LeaseHolder::new(drift),
             ttl: Duration::ZERO,
-            is_wanted: false,
+            is_needed: false,
             releasing: None,
             requested_at: None,
             is_refused: false,
@@ -196,7 +201,7 @@
         if let Some(number) = self.releasing {
             return Some(Op::Release(Release { lease, number }));
         }
-        if !self.is_wanted {
+        if !self.is_needed {
             return None;
         }
         match self.holder.number(now) {
--- a/src/coltsfootnotch/daemon/sidecar/orders/timing.rs
+++ b/src/coltsfootnotch/daemon/sidecar/orders/timing.rs
@@ -86,7 +86,7 @@
     }
 
     /// How the engine is protected from orders of an earlier holder.
-    pub(super) fn guard(&self, is_fenced: bool) -> FencingMode {
+    pub(super) fn fencing_mode(&self, is_fenced: bool) -> FencingMode {
         match is_fenced {
             true => FencingMode::Numbers,
             false => FencingMode::Wait {
--- a/tests/testsuite/control/disk.rs
+++ b/tests/testsuite/control/disk.rs
@@ -13,9 +13,9 @@
 use super::client::manifest;
 use super::group::{Group, wait_until};
 
-/// A group whose first member's disk fails with `verdict` once the switch is on.
+/// A group whose first member's disk fails with `outcome` once the switch is on.
 fn group_with_failing_disk(
-    verdict: FileOpOutcome,
+    outcome: FileOpOutcome,
     affects: fn(FileOp<'_>) -> bool,
 ) -> (Group, Arc<AtomicBool>) {
     let mut group = Group::new(|_: &mut ControlConfig| {});
@@ -24,7 +24,7 @@
     let switch = Arc::clone(&fails);
     cfg.fault_injector = Some(Box::new(move |op| {
         if switch.load(Ordering::Relaxed) && affects(op) {
-            verdict
+            outcome
         } else {
             FileOpOutcome::Proceed
         }
