--- a/examples/slopes/main.rs
+++ b/examples/slopes/main.rs
@@ -3,8 +3,8 @@
 //! `cargo run --release --example slopes -- PART [SIZE...]`, where PART is `hosts`, `backlog`,
 //! `requests`, `entries`, `streams`, `configuration`, `accounts`, `changes`, `connections`, `open`
 //! or `roles`. The last five start daemon processes, built by `cargo build --release --bins`, and
-//! measure each role separately; in the others all hosts and stand-ins run in this process. CPU time is
-//! user and system time, which other programs affect less than elapsed time.
+//! measure each role separately; in the others all hosts and stand-ins run in this process. Traffic
+//! uses loopback; CPU time is user and system time, which other load affects less than wall time.
 
 mod backlog;
 mod caller;
