--- a/crates/decide/src/route/mod.rs
+++ b/crates/decide/src/route/mod.rs
@@ -1,6 +1,6 @@
 //! Routing of requests to upstreams, with prefix affinity, health and gradual version shifts.
 //!
-//! [`choose_upstream`] considers only upstreams with a free slot, so affinity never delays a
+//! [`choose_upstream()`] considers only upstreams with a free slot, so affinity never delays a
 //! request. It prefers an upstream that has the prefix cached while its load is within a bound of
 //! the mean, which keeps a popular prefix from overloading one upstream; then upstreams within the
 //! bound, nearest failure domain first; then the first by rendezvous hashing of the prefix, which
@@ -8,7 +8,7 @@
 //!
 //! Health ([`UpstreamHealth`]) and version weight ([`VersionShift`]) scale the usable slots of an
 //! upstream, so load moves gradually and a flapping upstream does not alternate between idle and
-//! overloaded. For a pull, [`choose_request`] prefers a request whose prefix the upstream has
+//! overloaded. For a pull, [`choose_request()`] prefers a request whose prefix the upstream has
 //! cached, among the oldest few of the account.
 
 mod candidate;
--- a/src/coltsfootnotch/daemon/control/seeded/mod.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/mod.rs
@@ -63,7 +63,7 @@
     pub(super) no_group_log_due: Duration,
     pub(super) connectivity: Connectivity,
     pub(super) load_due: Duration,
-    /// Liveness signs of unchanged upstreams since the last broadcast to entries.
+    /// Keep-alives of unchanged upstreams since the last broadcast to entries.
     pub(super) alive: Vec<UpstreamKeepAlive>,
     pub(super) alive_due: Duration,
 }
--- a/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
+++ b/src/coltsfootnotch/daemon/control/seeded/upstreams.rs
@@ -15,13 +15,13 @@
 /// upstreams earlier by their own requests.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Shortest interval of broadcasts of liveness signs, well below the entries' timeout.
+/// Shortest interval of broadcasts of keep-alives, well below the entries' timeout.
 const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest such interval, in a very large fleet; entries expire an upstream after 8 s of silence.
 const MAX_ALIVE_INTERVAL: Duration = Duration::from_secs(3);
-/// Minimum interval of broadcasts per sign sent. Each takes some 20 bytes, so a control host spends at
+/// Minimum interval of broadcasts per keep-alive sent. Each takes some 20 bytes, so a control host spends at
 /// most 1 MB/s on them.
-const SEND_TIME_PER_SIGN: Duration = Duration::from_micros(20);
+const SEND_TIME_PER_KEEP_ALIVE: Duration = Duration::from_micros(20);
 
 impl ControlDaemon {
     /// Handles an upstream's announcement.
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Broadcasts the liveness signs of unchanged upstreams in one message, to wake entries less often.
+    /// Broadcasts the keep-alives of unchanged upstreams in one message, to wake entries less often.
     pub(super) fn send_alive(&mut self, now: Duration) {
         let Some(seeded) = &mut self.seeded else {
             return;
@@ -67,8 +67,8 @@
             return;
         }
         let alive = std::mem::take(&mut seeded.alive);
-        let signs = alive.len() * seeded.entries.links().count();
-        let time = SEND_TIME_PER_SIGN * u32::try_from(signs).unwrap_or(u32::MAX);
+        let keep_alives = alive.len() * seeded.entries.links().count();
+        let time = SEND_TIME_PER_KEEP_ALIVE * u32::try_from(keep_alives).unwrap_or(u32::MAX);
         seeded.alive_due = now + time.clamp(ALIVE_INTERVAL, MAX_ALIVE_INTERVAL);
         if !alive.is_empty() {
             self.broadcast_to_entries(&FromRelay::UpstreamsAlive(alive));
